--- a/src/chervilwing/bodies.py
+++ b/src/chervilwing/bodies.py
@@ -1,4 +1,4 @@
-"""Where the body of an answer ends: by its length or by its chunks."""
+"""Decoders of message bodies that are framed by a length or by chunks."""
 
 import math
 import re
@@ -6,20 +6,22 @@
 from .exceptions import BadRequest
 
 CRLF = b"\r\n"
-# Python's own int() takes signs, underscores and a 0x as well.
-CHUNK_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;.*)?\Z")
+# Stricter than int(), which also accepts signs, underscores and a 0x prefix.
+CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;.*)?\Z")
 CHUNK_LINE_LIMIT = 8192
-CHUNK_LINE_SIZE = 18
+# Bytes in which decode_single_chunk looks for the end of the size line: 15 hex digits
+# and the CRLF fit.
+SHORT_LINE_LIMIT = 18
 
 
-def read_whole_chunk(data):
-    """Return the body of exactly one chunk, or nothing when the bytes are another.
+def decode_single_chunk(data):
+    """Return the data of one chunk if the bytes are exactly that, else empty bytes.
 
-    An engine's token comes as one read of one chunk, 9,400 times a second a node
-    (letter 1); the steps below take 2 us longer for it.
+    An engine sends each token as one chunk, which usually arrives in one read, 9,400
+    times a second on each node. ChunkedBody's general steps take 2 us longer for it.
     """
-    end = data.find(CRLF, 0, CHUNK_LINE_SIZE)
-    match = CHUNK_LINE.match(data, 0, end) if end > 0 else None
+    end = data.find(CRLF, 0, SHORT_LINE_LIMIT)
+    match = CHUNK_SIZE_LINE.match(data, 0, end) if end > 0 else None
     if match is None:
         return b""
     start, stop = end + len(CRLF), len(data) - len(CRLF)
@@ -29,62 +31,62 @@
 
 
 class SizedBody:
-    """A body of known length, or one that only the end of the connection ends."""
+    """A body of known length, or one that ends only when the connection closes."""
 
     def __init__(self, length):
-        self._left = math.inf if length is None else length
+        self._remaining = math.inf if length is None else length
         self.rest = b""
 
     @property
     def complete(self):
-        """Tell whether the end has come; a closed connection proves none."""
-        return self._left == 0
+        """Return whether the whole body was received; never so without a length."""
+        return self._remaining == 0
 
     @property
     def endless(self):
-        """Tell whether only the end of the connection ends this body."""
-        return self._left == math.inf
+        """Return whether the body ends only when the connection closes."""
+        return self._remaining == math.inf
 
     @property
-    def excess(self):
-        """Tell whether bytes came after the end."""
+    def has_excess(self):
+        """Return whether bytes were received after the end."""
         return bool(self.rest)
 
-    def take(self, data):
-        """Return what of these bytes belongs to the body."""
-        if len(data) <= self._left:
-            self._left -= len(data)
+    def decode(self, data):
+        """Return the body bytes decoded from ``data``."""
+        if len(data) <= self._remaining:
+            self._remaining -= len(data)
             return data
-        part, self.rest = data[: self._left], self.rest + data[self._left :]
-        self._left = 0
+        part, self.rest = data[: self._remaining], self.rest + data[self._remaining :]
+        self._remaining = 0
         return part
 
 
 class ChunkedBody:
-    """A chunked body; each step reads one piece of its framing."""
+    """A chunked body; each step parses one element of its framing."""
 
     endless = False
 
     def __init__(self):
         self._buffer = bytearray()
-        self._left = 0
+        self._remaining = 0
         self._step = self._read_size
         self.complete = False
 
     @property
-    def excess(self):
-        """Tell whether bytes came after the end mark."""
+    def has_excess(self):
+        """Return whether bytes were received after the last chunk."""
         return self.complete and bool(self._buffer)
 
     @property
     def rest(self):
-        """Return the bytes behind the end mark."""
+        """Return the bytes received after the last chunk."""
         return bytes(self._buffer) if self.complete else b""
 
-    def take(self, data):
-        """Return what of these bytes belongs to the body."""
+    def decode(self, data):
+        """Return the body bytes decoded from ``data``."""
         if self._step == self._read_size and not self._buffer:
-            part = read_whole_chunk(data)
+            part = decode_single_chunk(data)
             if part:
                 return part
         self._buffer += data
@@ -93,7 +95,7 @@
             pass
         return b"".join(parts)
 
-    def _take_line(self):
+    def _pop_line(self):
         end = self._buffer.find(CRLF)
         if (len(self._buffer) if end < 0 else end) > CHUNK_LINE_LIMIT:
             raise BadRequest("A line between chunks is too long.")
@@ -104,22 +106,22 @@
         return line
 
     def _read_size(self, parts):
-        line = self._take_line()
+        line = self._pop_line()
         if line is None:
             return False
-        match = CHUNK_LINE.match(line)
+        match = CHUNK_SIZE_LINE.match(line)
         if match is None:
             raise BadRequest("A chunk's size is malformed.")
-        self._left = int(match.group(1), 16)
-        self._step = self._read_data if self._left else self._read_trailer
+        self._remaining = int(match.group(1), 16)
+        self._step = self._read_data if self._remaining else self._read_trailer
         return True
 
     def _read_data(self, parts):
-        part = bytes(self._buffer[: self._left])
-        del self._buffer[: self._left]
+        part = bytes(self._buffer[: self._remaining])
+        del self._buffer[: self._remaining]
         parts.append(part)
-        self._left -= len(part)
-        if self._left:
+        self._remaining -= len(part)
+        if self._remaining:
             return False
         self._step = self._read_end
         return True
@@ -134,6 +136,6 @@
         return True
 
     def _read_trailer(self, parts):
-        line = self._take_line()
+        line = self._pop_line()
         self.complete = line == b""
         return bool(line)
--- a/src/chervilwing/connections.py
+++ b/src/chervilwing/connections.py
@@ -24,38 +24,45 @@
 from .sockets import StreamHandlers, Streams
 from .work import FAILED, PATH, SILENT
 
-# Idle connections kept for each address. Load: bursts of short calls. Harm: one more
-# handshake each; sockets without end. Eight is a pool worker's slots.
+# Idle connections kept for each address, as many as a pool worker has slots. Without
+# them a burst of short calls would cost one handshake each; without a limit the number
+# of sockets would grow without bound.
 IDLE_LIMIT = 8
-# RFC 9110, section 9.3.7: what only asks whether a server is there.
-PROBE = ("OPTIONS", "*")
-# RFC 9110, section 8.6: a length is sent where the method gives the body a meaning.
+# Method and target of a request that only tests whether a server is available
+# (RFC 9110, section 9.3.7).
+PROBE_REQUEST = ("OPTIONS", "*")
+# Methods whose empty body needs no Content-Length (RFC 9110, section 8.6).
 BODILESS_METHODS = frozenset({"GET", "HEAD", "DELETE"})
-KEEP_ALIVE = re.compile(r"timeout=([0-9]{1,6})")
-# How much sooner than the upstream we let go of an idle connection, in seconds: a call
-# that crosses the upstream's close can't be told from one that ran. A link's delay and
-# a late timer of the other end, with room.
+KEEP_ALIVE_PATTERN = re.compile(r"timeout=([0-9]{1,6})")
+# Seconds by which a connection stops being reused before the upstream would close it.
+# It is unknown whether a request ran that crossed the upstream's close. The margin
+# covers the network delay and a late timer at the upstream.
 IDLE_MARGIN = 0.5
-# How a failed call counts for the scheduler; the first row that fits.
-OUTCOMES = ((PathSilent, PATH), (UpstreamSilent, SILENT), (UpstreamFailed, FAILED))
+# Failure types and the outcomes reported to the scheduler; the first match counts.
+FAILURE_OUTCOMES = (
+    (PathSilent, PATH),
+    (UpstreamSilent, SILENT),
+    (UpstreamFailed, FAILED),
+)
 
 
 def find_outcome(exc):
-    """Return the outcome of an attempt whose call failed."""
-    return next(outcome for kind, outcome in OUTCOMES if isinstance(exc, kind))
+    """Return the scheduler's outcome for a call that failed with ``exc``."""
+    return next(outcome for kind, outcome in FAILURE_OUTCOMES if isinstance(exc, kind))
 
 
 class Call(NamedTuple):
     """One HTTP request to an outside system; times are in seconds.
 
-    ``fresh`` asks for a new connection: one kept alive may have been closed by the
-    other end already, and what was written to it can't be told from what was run.
-    ``send_before`` is on the monotonic clock: nothing is sent from then on. ``probed``
-    asks a silent address on a new connection before the call fails. ``host`` replaces
-    the address in the Host field. A connection that has been idle for ``idle_limit`` is
-    not taken, and ``idle_most`` of them are kept for the address. ``expects`` tells the
-    answer from one to an earlier call. ``until_close`` takes the orderly end of a
-    connection for the end of an answer without a length.
+    ``fresh`` opens a new connection: the upstream may already have closed one that was
+    kept alive, and it is then unknown whether a request written to it ran.
+    ``send_before`` is a time on the monotonic clock, from which on the request is no
+    longer sent. ``probed`` makes the client send a probe on a new connection before a
+    silent call fails. ``host`` replaces the address in the Host field. Connections idle
+    for ``idle_limit`` or longer are not reused, and at most ``idle_most`` idle ones are
+    kept for the address. ``expects`` returns False for the answer to an earlier call.
+    ``until_close`` accepts an orderly close of the connection as the end of an answer
+    that has no length.
     """
 
     address: Address
@@ -76,7 +83,7 @@
 
 
 class CallHandlers(NamedTuple):
-    """What the caller of ``submit`` does as the answer comes."""
+    """Callbacks of one call: its head, each piece of the body, its end or failure."""
 
     head: Callable[[int, dict[str, str]], None]
     data: Callable[[bytes], None]
@@ -85,7 +92,7 @@
 
 
 class CallState:
-    """State of one call; ``cancel`` is idempotent."""
+    """State of one call; may be passed to ``Client.cancel`` more than once."""
 
     __slots__ = (
         "call",
@@ -93,9 +100,9 @@
         "reader",
         "conn",
         "over",
-        "headed",
-        "heard",
-        "held",
+        "head_delivered",
+        "last_activity",
+        "paused",
     )
 
     def __init__(self, call, handlers, now):
@@ -104,13 +111,13 @@
         self.reader = ResponseReader(call.method)
         self.conn = None
         self.over = False
-        self.headed = False
-        self.heard = now
-        self.held = False
+        self.head_delivered = False
+        self.last_activity = now
+        self.paused = False
 
 
 def encode_call(call):
-    """Return the request as bytes."""
+    """Return the head and the body of the request as bytes."""
     lines = [f"{call.method} {call.path} HTTP/1.1"]
     lines.append(f"Host: {call.host or format_address(call.address)}")
     if call.body or call.method not in BODILESS_METHODS:
@@ -120,16 +127,20 @@
 
 
 def read_idle_limit(headers):
-    """Return for how many seconds an upstream keeps an idle connection."""
-    match = KEEP_ALIVE.search(headers.get("keep-alive", ""))
+    """Return for how many seconds an idle connection to an upstream may be reused.
+
+    That is the timeout in its Keep-Alive field less IDLE_MARGIN, or infinity.
+    """
+    match = KEEP_ALIVE_PATTERN.search(headers.get("keep-alive", ""))
     return max(0.0, int(match.group(1)) - IDLE_MARGIN) if match else float("inf")
 
 
 class Client(BaseComponent):
     """Own the connections to outside systems.
 
-    Guard against crossed answers: a connection carries one call at a time and is closed
-    unless the whole answer, end mark included, was read from it.
+    A connection carries one call at a time and is closed unless the whole answer,
+    including its end, was read from it. Otherwise a call could receive the rest of an
+    earlier call's answer.
     """
 
     channel = "client"
@@ -137,7 +148,7 @@
     def __init__(self, poller, channel="client"):
         super().__init__(channel=channel)
         self._idle: dict[Address, list] = defaultdict(list)
-        self._live: set[CallState] = set()
+        self._active: set[CallState] = set()
         self._probes: dict[Address, CallState] = {}
         handlers = StreamHandlers(self._opened, self._received, self._closed)
         self._streams = Streams(poller, handlers, f"{channel}-streams").register(self)
@@ -145,11 +156,11 @@
     def submit(self, call, handlers):
         """Start a call and return its state."""
         exchange = CallState(call, handlers, time.monotonic())
-        self._live.add(exchange)
-        conn = self._take_idle(call)
+        self._active.add(exchange)
+        conn = self._pop_idle(call)
         if conn is None:
             conn = self._streams.dial(call.address)
-            conn.heard = exchange.heard
+            conn.last_activity = exchange.last_activity
         conn.state = exchange
         conn.sent = 0
         exchange.conn = conn
@@ -157,7 +168,7 @@
         return exchange
 
     def cancel(self, exchange):
-        """Give the call up without a report and close its connection."""
+        """Abort the call, close its connection and run none of its callbacks."""
         if exchange.over:
             return
         self._end(exchange)
@@ -165,156 +176,164 @@
 
     def pause(self, exchange):
         """Stop reading the answer until ``resume``."""
-        # The connection of a call that is over may carry somebody else's by now.
+        # The connection of a call that is over may carry another call by now.
         if exchange.over:
             return
-        exchange.held = True
+        exchange.paused = True
         self._streams.pause(exchange.conn)
 
     def resume(self, exchange):
-        """Read the answer again."""
-        if exchange.over or not exchange.held:
+        """Continue to read a paused answer."""
+        if exchange.over or not exchange.paused:
             return
-        exchange.held = False
-        exchange.heard = time.monotonic()
+        exchange.paused = False
+        exchange.last_activity = time.monotonic()
         self._streams.resume(exchange.conn)
 
     def retire(self, address):
-        """Close idle connections to an address whose path has gone silent."""
+        """Close all idle connections to an address."""
         for conn in self._idle.pop(address, []):
             self._streams.drop(conn)
 
     def is_connected(self, address):
-        """Tell whether any connection to an address is open."""
+        """Return whether any connection to an address is open."""
         if self._idle.get(address):
             return True
         return any(
             item.call.address == address and not item.conn.connecting
-            for item in self._live
+            for item in self._active
         )
 
     def count(self):
-        """Return how many calls are under way."""
-        return len(self._live)
+        """Return the number of calls in progress."""
+        return len(self._active)
 
     def count_idle(self):
-        """Return how many connections wait for a call."""
+        """Return the number of idle connections."""
         return sum(map(len, self._idle.values()))
 
     @handler("tick", channel="*")
     def _on_tick(self):
-        """Look for calls on connections that have gone silent.
+        """Time out calls whose connection has received nothing for too long.
 
-        Guard: something between the two ends loses track of a connection; neither end
-        hears of it, and without a deadline on silence the caller would wait for ever.
+        A device between the two ends can drop a connection's state without notice to
+        either; without a timeout the caller would wait forever.
         """
         now = time.monotonic()
-        for exchange in list(self._live):
+        for exchange in list(self._active):
             if exchange.over or not self._is_silent(exchange, now):
                 continue
             self.retire(exchange.call.address)
-            probing = self._probes.get(exchange.call.address)
-            unasked = exchange.conn.connecting or not exchange.call.probed
-            if unasked or exchange is probing:
+            probe = self._probes.get(exchange.call.address)
+            no_probe = exchange.conn.connecting or not exchange.call.probed
+            if no_probe or exchange is probe:
                 self._fail(exchange, "No answer in time.", UpstreamSilent)
-            elif probing is None:
+            elif probe is None:
                 self._probe(exchange.call, now)
 
     def _is_silent(self, exchange, now):
         call = exchange.call
         connecting = exchange.conn.connecting
         limit = call.connect_timeout if connecting else call.silence_timeout
-        return not exchange.held and now - exchange.heard > limit
+        return not exchange.paused and now - exchange.last_activity > limit
 
     def _probe(self, call, now):
-        """Ask on a new connection whether the upstream or only the path is dead."""
+        """Test on a new connection whether the upstream or only the path is down."""
         quiet_since = now - call.silence_timeout / 2
-        judge = lambda answered: self._judge(call.address, quiet_since, answered)
+        end_calls = lambda answered: self._end_silent_calls(
+            call.address, quiet_since, answered
+        )
         handlers = CallHandlers(
             head=lambda status, headers: None,
             data=lambda data: None,
-            done=lambda: judge(True),
-            failed=lambda exc: judge(False),
+            done=lambda: end_calls(True),
+            failed=lambda exc: end_calls(False),
         )
         wait = call.connect_timeout
-        probe = Call(call.address, *PROBE, {}, b"", wait, wait, fresh=True)
+        probe = Call(call.address, *PROBE_REQUEST, {}, b"", wait, wait, fresh=True)
         self._probes[call.address] = self.submit(probe, handlers)
 
-    def _judge(self, address, quiet_since, answered):
-        """End the silent calls of an address, and all on a path known to be dead.
+    def _end_silent_calls(self, address, quiet_since, answered):
+        """Fail the silent calls of an address after its probe has ended.
 
-        Guard: what lost track of one connection has mostly lost all of its age; each
-        caller behind them would wait out a limit of its own. A connection that brought
-        a byte since half of the limit is alive. A call that may not be repeated, which
-        has a connection of its own, waits on: it can't go elsewhere.
+        If the probe was answered, calls on other old connections fail too: a device
+        that dropped the state of one connection has usually dropped all of that age,
+        and each call would wait for its own timeout. A connection that received
+        anything within the last half of the probed call's timeout counts as working. A
+        call that must not be repeated, and so has a connection of its own, keeps
+        waiting, as it can't be sent elsewhere.
         """
         del self._probes[address]
         now = time.monotonic()
         kind = PathSilent if answered else UpstreamSilent
-        for exchange in [item for item in self._live if item.call.address == address]:
-            # The failure of one call may have cancelled another.
+        for exchange in [item for item in self._active if item.call.address == address]:
+            # The callback for one failed call may have cancelled another call.
             if exchange.over:
                 continue
-            stale = not exchange.call.fresh and exchange.conn.heard < quiet_since
-            dead = answered and stale and not exchange.held
+            stale = (
+                not exchange.call.fresh and exchange.conn.last_activity < quiet_since
+            )
+            dead = answered and stale and not exchange.paused
             if dead or self._is_silent(exchange, now):
                 self._fail(exchange, "The connection has gone silent.", kind)
 
-    def _take_idle(self, call):
+    def _pop_idle(self, call):
         if call.fresh:
             return None
         idle = self._idle.get(call.address, [])
         now = time.monotonic()
         while idle:
             conn = idle.pop()
-            if now - conn.heard < min(call.idle_limit, conn.idle_limit):
+            if now - conn.last_activity < min(call.idle_limit, conn.idle_limit):
                 return conn
             self._streams.drop(conn)
         return None
 
     def _opened(self, conn):
-        conn.heard = time.monotonic()
+        conn.last_activity = time.monotonic()
         exchange = conn.state
         if exchange is None:
             return
-        exchange.heard = conn.heard
-        # Guard: a process frozen while it connects goes on, unaware, with an order of
-        # a lease that has lapsed; the check before ``submit`` is long over by then.
-        if exchange.heard >= exchange.call.send_before:
-            self._fail(exchange, "Too late to be sent.")
+        exchange.last_activity = conn.last_activity
+        # A process that was suspended while it connected would otherwise send an order
+        # under a lease that has expired since the check before ``submit``.
+        if exchange.last_activity >= exchange.call.send_before:
+            self._fail(exchange, "The connection opened too late to send the request.")
 
     def _received(self, conn, data):
         exchange = conn.state
         if exchange is None:
             self._streams.drop(conn)
             return
-        exchange.heard = conn.heard = time.monotonic()
+        exchange.last_activity = conn.last_activity = time.monotonic()
         try:
             body = exchange.reader.feed(data)
         except BadRequest as exc:
             self._fail(exchange, str(exc))
             return
         try:
-            self._report(exchange, body)
+            self._deliver(exchange, body)
         except Exception as exc:
-            # Guard: a defect in the handling of an answer shows as a caller that waits
-            # for ever; told as a failure, the request gets an answer all the same.
+            # A bug in a callback would leave the caller waiting forever; reported as a
+            # failed call, the request still gets an answer.
             log_failure("answer handler", exc)
-            self._abandon(exchange)
+            self._fail_unhandled(exchange)
 
-    def _abandon(self, exchange):
+    def _fail_unhandled(self, exchange):
         if not exchange.over:
             self._end(exchange)
             self._streams.drop(exchange.conn)
-        exchange.handlers.failed(UpstreamFailed("The answer was not handled."))
+        exchange.handlers.failed(
+            UpstreamFailed("The answer was not handled: internal error.")
+        )
 
-    def _report(self, exchange, body):
-        while self._is_stray(exchange):
+    def _deliver(self, exchange, body):
+        while self._is_for_earlier_call(exchange):
             if not exchange.reader.complete:
                 return
-            body = self._read_next(exchange)
-        if not exchange.headed and exchange.reader.head is not None:
-            exchange.headed = True
+            body = self._read_next_answer(exchange)
+        if not exchange.head_delivered and exchange.reader.head is not None:
+            exchange.head_delivered = True
             exchange.handlers.head(*exchange.reader.head)
         if body and not exchange.over:
             exchange.handlers.data(body)
@@ -322,17 +341,16 @@
             self._release(exchange)
             exchange.handlers.done()
 
-    def _is_stray(self, exchange):
-        """Tell whether the answer that is being read belongs to an earlier call.
+    def _is_for_earlier_call(self, exchange):
+        """Return whether the answer being read belongs to an earlier call.
 
-        Guard: a faulty upstream answers one request twice, the second time late: just
-        as the next call waits on this connection. Taken for the answer, one caller
-        would read what was meant for another.
+        A faulty upstream may answer one request twice, the second time while the next
+        call waits on this connection. Its caller would receive another's answer.
         """
         head, expects = exchange.reader.head, exchange.call.expects
         return head is not None and expects is not None and not expects(head)
 
-    def _read_next(self, exchange):
+    def _read_next_answer(self, exchange):
         rest = exchange.reader.rest
         exchange.reader = ResponseReader(exchange.call.method)
         return exchange.reader.feed(rest)
@@ -340,13 +358,13 @@
     def _release(self, exchange):
         conn = exchange.conn
         head = exchange.reader.head
-        # Guard: an answer can end in the read that paused it; left paused, the
-        # connection would never bring the next call's answer.
+        # The read that paused an answer may also have completed it. If the connection
+        # stayed paused, the next call's answer would never be read.
         self.resume(exchange)
         self._end(exchange)
         idle = self._idle[exchange.call.address]
-        # Guard: an answer may come before the request has left whole; another call's
-        # bytes would reach the upstream as the rest of this one's body.
+        # An answer may arrive before the whole request was sent. The upstream would
+        # take the next request's bytes for the rest of this request's body.
         reusable = exchange.reader.reusable and not conn.pending
         if reusable and len(idle) < exchange.call.idle_most:
             conn.idle_limit = read_idle_limit(head.headers)
@@ -361,8 +379,8 @@
         exchange = conn.state
         if exchange is None or exchange.over:
             return
-        endless = exchange.call.until_close and exchange.reader.endless
-        if exc is None and exchange.headed and endless:
+        ends_at_close = exchange.call.until_close and exchange.reader.endless
+        if exc is None and exchange.head_delivered and ends_at_close:
             self._end(exchange)
             exchange.handlers.done()
             return
@@ -370,7 +388,7 @@
 
     def _fail(self, exchange, detail, kind=UpstreamFailed):
         conn = exchange.conn
-        # Only a connection that took no byte proves that nothing ran.
+        # The request certainly did not run only if no byte of it was sent.
         outcome = UNKNOWN if conn.sent else NOT_RUN
         self._end(exchange)
         self._streams.drop(conn)
@@ -379,4 +397,4 @@
     def _end(self, exchange):
         exchange.over = True
         exchange.conn.state = None
-        self._live.discard(exchange)
+        self._active.discard(exchange)
--- a/src/chervilwing/parsers.py
+++ b/src/chervilwing/parsers.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 messages: heads by circuits.web's parser, bodies cut by their framing.
+"""HTTP/1.1 parsing: circuits.web's parser reads the heads, bodies are decoded here.
 
-Each guard below stands for a fault seen in circuits 3.2.5; tests/test_parsers.py holds
-the bytes that show it. The parser is given only heads that can be read in one way. Its
-body side loses, joins or invents bytes when a read ends in the wrong place or a length
-is malformed, so bodies are cut here.
+The comments on circuits.web's parser describe faults of circuits 3.2.5;
+tests/test_parsers.py reproduces each. The parser is given only heads that have a single
+interpretation. Its body parser loses, joins or invents bytes when a read ends in the
+wrong place or a length is malformed, so bodies are decoded here.
 """
 
 import re
@@ -18,18 +18,18 @@
 RESPONSE = 1
 CRLF = b"\r\n"
 HEAD_END = b"\r\n\r\n"
-HTTP_1 = b"HTTP/1."
-DIGITS = re.compile(r"[0-9]{1,18}\Z")
+HTTP_1_PREFIX = b"HTTP/1."
+LENGTH_DIGITS = re.compile(r"[0-9]{1,18}\Z")
 FIELD_NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
-# All control characters but the tab; a bare CR or LF would start a line of its own for
-# whoever reads the field next.
-CONTROLS = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
+# All control characters except the tab; the next reader of the field could take a bare
+# CR or LF for the end of the line.
+CONTROL_CHARACTERS = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 REQUEST_LINE = re.compile(rb"([!-~]+) ([!-~]+) HTTP/([0-9])\.([0-9])\Z")
-TARGET = re.compile(r"(?:https?://[^/?#]+)?([^#]*)\Z", re.IGNORECASE)
+TARGET_PATTERN = re.compile(r"(?:https?://[^/?#]+)?([^#]*)\Z", re.IGNORECASE)
 STATUS_LINE = re.compile(rb"(HTTP/1\.[01]) ([1-5][0-9]{2})(?: .*)?\Z")
-VERSIONS = ((1, 0), (1, 1))
-# Fields that mean one thing; given twice, two readers could pick a different one.
-SINGLE = {
+SUPPORTED_VERSIONS = ((1, 0), (1, 1))
+# Fields that may occur only once; of two values, two readers could use different ones.
+SINGLETON_FIELDS = {
     "authorization",
     "content-length",
     "content-type",
@@ -37,17 +37,17 @@
     "idempotency-key",
     "x-request-id",
 }
-BODILESS = (204, 304)
+BODILESS_STATUSES = (204, 304)
 SWITCHING_PROTOCOLS = 101
 HTTP_OK = 200
-# Load: an upstream that sends no line end. Harm: its bytes would be kept without end.
+# Bytes; without this limit an upstream that never ends its head would fill the memory.
 ANSWER_HEAD_LIMIT = 65536
 
 
 class HttpRequest(NamedTuple):
     """One whole request; header names are in lower case.
 
-    ``chunks`` tells whether its sender reads chunked answers.
+    ``chunks`` says whether its sender can read chunked answers.
     """
 
     method: str
@@ -60,7 +60,7 @@
 
     @property
     def target(self):
-        """Return path and query as they stood in the request line."""
+        """Return the path and the query as sent in the request line."""
         return f"{self.path}?{self.query}" if self.query else self.path
 
 
@@ -72,36 +72,36 @@
 
 
 def check_fields(lines):
-    """Raise BadRequest on fields that could be read in two ways.
+    """Raise BadRequest if the header fields are ambiguous.
 
-    Guard: the parser joins folded lines and repeated fields, takes bare CR and LF into
-    a value, and ignores a Content-Length that is no number. Two readers of one stream
-    would then disagree where the next message starts (RFC 9112, section 11.2).
+    circuits.web's parser joins folded lines and repeated fields, accepts bare CR and LF
+    in a value, and ignores a Content-Length that is no number. Two readers of one
+    stream would then disagree where the next message starts (RFC 9112, section 11.2).
     """
     seen = set()
     for line in lines:
         name, colon, value = line.partition(b":")
-        if not colon or not FIELD_NAME.match(name) or CONTROLS.search(value):
+        if not colon or not FIELD_NAME.match(name) or CONTROL_CHARACTERS.search(value):
             raise BadRequest("A header line is malformed.")
         name = name.decode().lower()
-        if name in SINGLE and name in seen:
+        if name in SINGLETON_FIELDS and name in seen:
             raise BadRequest(f"{name} is given twice.")
         seen.add(name)
 
 
-def parse_head(kind, first, lines):
-    r"""Return the parser after it has read a whole head, or raise BadRequest.
+def parse_head(kind, start_line, lines):
+    r"""Return circuits.web's parser after it has read a head, or raise BadRequest.
 
-    Guard: the parser decodes each line with ``unicode_escape``, so the four bytes
-    ``\x0a`` in a value become a line feed, and a lone backslash raises. Doubled
-    backslashes decode to the byte that was sent.
+    The parser decodes each line with ``unicode_escape``, so that the four bytes
+    ``\x0a`` in a value become a line feed, and a single backslash raises an exception.
+    Each backslash is therefore doubled, which decodes to the byte that was sent.
     """
     check_fields(lines)
     parser = HttpParser(kind)
-    data = CRLF.join((first, *lines)).replace(b"\\", b"\\\\") + HEAD_END
+    data = CRLF.join((start_line, *lines)).replace(b"\\", b"\\\\") + HEAD_END
     try:
         parser.execute(data, len(data))
-    except Exception as exc:  # Guard: it raises what its helpers raise.
+    except Exception as exc:  # It raises whatever its helpers raise.
         raise BadRequest("The head can't be parsed.") from exc
     if parser.errno is not None or not parser.is_headers_complete():
         raise BadRequest("The head can't be parsed.")
@@ -109,22 +109,22 @@
 
 
 def lower_headers(parser):
-    """Return the parser's headers with names in lower case."""
+    """Return the header fields of a parser, with names in lower case."""
     return {name.lower(): value for name, value in parser.get_headers().items()}
 
 
 def read_length(headers):
-    """Return the Content-Length, None without one, or raise BadRequest."""
-    given = headers.get("content-length")
-    if given is None:
+    """Return the Content-Length in bytes or None, or raise BadRequest."""
+    text = headers.get("content-length")
+    if text is None:
         return None
-    if not DIGITS.match(given):
+    if not LENGTH_DIGITS.match(text):
         raise BadRequest("Content-Length is malformed.")
-    return int(given)
+    return int(text)
 
 
 def is_persistent(version, headers):
-    """Tell whether the connection may carry another message (RFC 9112, section 9.3)."""
+    """Return whether the connection may be kept alive (RFC 9112, section 9.3)."""
     options = headers.get("connection", "").lower().split(",")
     options = {option.strip() for option in options}
     if "close" in options:
@@ -133,12 +133,12 @@
 
 
 def split_target(target):
-    """Return path and query of a request target, or raise BadRequest.
+    """Return the path and query of a request target, or raise BadRequest.
 
-    Guard: the parser takes ``//notes`` for the name of a host and drops it from the
-    path, so that rules and service would see different paths.
+    circuits.web's parser takes ``//notes`` for a host name and removes it from the
+    path, so that the rules and the service would see different paths.
     """
-    match = TARGET.match(target)
+    match = TARGET_PATTERN.match(target)
     rest = match.group(1) if match else ""
     if rest == "*":
         return rest, ""
@@ -151,17 +151,17 @@
 
 
 def read_request_head(head, chunked=False):
-    """Return the request without its body, and the empty reader of its body.
+    """Return the request without its body, and a decoder for the body.
 
-    ``chunked`` takes bodies that come in chunks too.
+    ``chunked`` accepts chunked bodies too.
     """
-    first, *lines = head.split(CRLF)
-    match = REQUEST_LINE.match(first)
+    start_line, *lines = head.split(CRLF)
+    match = REQUEST_LINE.match(start_line)
     if match is None:
         raise BadRequest("The request line is malformed.")
     method, target, *version = match.groups()
     version = tuple(map(int, version))
-    if version not in VERSIONS:
+    if version not in SUPPORTED_VERSIONS:
         raise BadRequest("Only HTTP/1.0 and HTTP/1.1 are served.")
     path, query = split_target(target.decode())
     parser = parse_head(REQUEST, method + b" / HTTP/1.1", lines)
@@ -179,11 +179,12 @@
 
 
 def make_request_body(version, headers):
-    """Return the reader of a request's body, or raise BadRequest.
+    """Return the decoder for a request's body, or raise BadRequest.
 
-    Guard: a request with two framings, or with a coding other than ``chunked``, ends at
-    one place for us and at another for the upstream; a second request hidden in its
-    body would then run without having passed our checks (RFC 9112, section 6.1).
+    A request with both a length and a transfer coding, or with a coding other than
+    ``chunked``, could end at different bytes for this process and for the upstream. A
+    second request hidden in its body would then bypass the checks made here (RFC 9112,
+    section 6.1).
     """
     coding = headers.get("transfer-encoding")
     length = read_length(headers)
@@ -195,7 +196,7 @@
 
 
 class RequestReader:
-    """Cut a byte stream into requests; keeps what belongs to the next one."""
+    """Split a byte stream into requests, and buffer the bytes of the next one."""
 
     def __init__(self, cfg, chunked=False):
         self._cfg = cfg
@@ -203,41 +204,41 @@
         self._buffer = bytearray()
         self._req = None
         self._body = None
-        self._parts = []
+        self._body_parts = []
         self._size = 0
 
     @property
     def idle(self):
-        """Tell whether no part of a request has come yet."""
+        """Return whether no byte of the next request has been received."""
         return not self._buffer and self._req is None
 
     @property
     def expects_continue(self):
-        """Tell whether the sender keeps its body back until it is asked for it."""
+        """Return whether the sender waits for 100 Continue before it sends the body."""
         if self._req is None or self._size or self._buffer or not self._req.chunks:
             return False
         return self._req.headers.get("expect", "").lower() == "100-continue"
 
     def feed(self, data):
-        """Add bytes; ``take`` finds out whether they are too many."""
+        """Buffer bytes; ``pop_request`` enforces the size limits."""
         self._buffer += data
 
-    def take(self):
-        """Return the next whole request, or None."""
-        if self._req is None and not self._take_head():
+    def pop_request(self):
+        """Return the next whole request, or None if it is still incomplete."""
+        if self._req is None and not self._parse_head():
             return None
-        self._take_body()
+        self._decode_body()
         if not self._body.complete:
             return None
         req, self._req = self._req, None
         self._buffer[:0] = self._body.rest
-        body = b"".join(self._parts)
+        body = b"".join(self._body_parts)
         return req._replace(body=body)
 
-    def _take_body(self):
-        part = self._body.take(bytes(self._buffer))
+    def _decode_body(self):
+        part = self._body.decode(bytes(self._buffer))
         self._buffer.clear()
-        self._parts.append(part)
+        self._body_parts.append(part)
         self._size += len(part)
         self._check_size(self._size)
 
@@ -245,7 +246,7 @@
         if size > self._cfg.body_limit:
             raise TooLarge(f"The body is over {self._cfg.body_limit} bytes.")
 
-    def _take_head(self):
+    def _parse_head(self):
         # Some senders put an empty line before a request (RFC 9112, section 2.2).
         while self._buffer.startswith(CRLF):
             del self._buffer[: len(CRLF)]
@@ -259,18 +260,19 @@
         del self._buffer[: end + len(HEAD_END)]
         self._req, self._body = read_request_head(head, self._chunked)
         self._check_size(read_length(self._req.headers) or 0)
-        self._parts, self._size = [], 0
+        self._body_parts, self._size = [], 0
         return True
 
 
-def make_body(status, headers, bodiless):
-    """Return the reader of an answer's body, or raise BadRequest.
+def make_response_body(status, headers, bodiless):
+    """Return the decoder for an answer's body, or raise BadRequest.
 
-    Guard: the parser waits for ever for the body of an answer that has none, and where
-    two framings are given it takes the one that RFC 9112, section 6.3, overrides.
+    circuits.web's parser waits forever for the body of an answer that has none. Given
+    both a length and a transfer coding, it uses the one that RFC 9112, section 6.3,
+    says to ignore.
     """
     length = read_length(headers)
-    if bodiless or status in BODILESS:
+    if bodiless or status in BODILESS_STATUSES:
         return SizedBody(0)
     coding = headers.get("transfer-encoding")
     if coding is None:
@@ -281,81 +283,81 @@
 
 
 class ResponseReader:
-    """Parse one answer as it comes, without keeping its body."""
+    """Parse one answer incrementally, without storing its body."""
 
     def __init__(self, method="GET"):
         self._bodiless = method == "HEAD"
-        self._early = b""
+        self._head_buffer = b""
         self._body = None
-        self._keep = False
+        self._keep_alive = False
         self.head = None
 
     @property
     def reusable(self):
-        """Tell whether the connection stands exactly behind the answer."""
-        return self.complete and self._keep and not self._body.excess
+        """Return whether the connection can be used for another request."""
+        return self.complete and self._keep_alive and not self._body.has_excess
 
     @property
     def complete(self):
-        """Tell whether the end mark of the answer has come."""
+        """Return whether the end of the answer has been received."""
         return self._body is not None and self._body.complete
 
     @property
     def endless(self):
-        """Tell whether only the end of the connection ends the answer."""
+        """Return whether the answer ends only when the connection closes."""
         return self._body is not None and self._body.endless
 
     @property
     def rest(self):
-        """Return the bytes that came behind a complete answer."""
+        """Return the bytes received after the end of a complete answer."""
         return self._body.rest if self.complete else b""
 
     def feed(self, data):
-        """Return the part of the body that these bytes complete.
+        """Return the body bytes decoded from ``data``.
 
-        Raises BadRequest when they are no HTTP answer.
+        Raises BadRequest if the bytes are not an HTTP answer.
         """
         if self._body is None:
-            data = self._gather_head(data)
-        return b"" if self._body is None else self._body.take(data)
+            data = self._receive_head(data)
+        return b"" if self._body is None else self._body.decode(data)
 
-    def _gather_head(self, data):
-        """Read the head once it is whole and return the bytes behind it.
+    def _receive_head(self, data):
+        """Parse the head once it is whole and return the bytes after it.
 
-        Guard: the parser looks for the end of a line only within the newest bytes and
-        waits for ever when a read ends between CR and LF.
+        circuits.web's parser looks for the end of a line in the latest bytes only, and
+        waits forever when a read ends between CR and LF.
         """
-        self._early += data
+        self._head_buffer += data
         while self._body is None:
-            head, end, rest = self._early.partition(HEAD_END)
-            size = min(len(head), len(HTTP_1))
-            if len(head) > ANSWER_HEAD_LIMIT or head[:size] != HTTP_1[:size]:
-                raise BadRequest("The answer is no HTTP.")
+            head, end, rest = self._head_buffer.partition(HEAD_END)
+            size = min(len(head), len(HTTP_1_PREFIX))
+            if len(head) > ANSWER_HEAD_LIMIT or head[:size] != HTTP_1_PREFIX[:size]:
+                raise BadRequest("The answer is not HTTP.")
             if not end:
                 return b""
-            self._early = rest
-            self._read_head(head)
-        self._early = b""
+            self._head_buffer = rest
+            self._parse_head(head)
+        self._head_buffer = b""
         return rest
 
-    def _read_head(self, head):
-        """Read one head; 100 to 199 only announce the answer.
+    def _parse_head(self, head):
+        """Parse one head; one with a status from 100 to 199 is ignored.
 
-        Guard: the parser takes letters and spaces alone for a reason, so that
-        ``207 Multi-Status`` fails; it is given a reason of ours.
+        circuits.web's parser accepts only letters and spaces as a reason phrase, so
+        that ``207 Multi-Status`` would fail; it is given a fixed one instead.
         """
-        first, *lines = head.split(CRLF)
-        match = STATUS_LINE.match(first)
+        start_line, *lines = head.split(CRLF)
+        match = STATUS_LINE.match(start_line)
         if match is None:
             raise BadRequest("The status line is malformed.")
         status = int(match.group(2))
         if status == SWITCHING_PROTOCOLS:
-            raise BadRequest("Nobody asked for another protocol.")
+            raise BadRequest("The upstream switched protocols without a request.")
         if status < HTTP_OK:
             return
         line = b"%b %b OK" % match.groups()
         parser = parse_head(RESPONSE, line, lines)
         headers = lower_headers(parser)
-        self._keep = is_persistent(parser.get_version(), headers)
-        self._body = make_body(status, headers, self._bodiless)
+        self._keep_alive = is_persistent(parser.get_version(), headers)
+        self._body = make_response_body(status, headers, self._bodiless)
         self.head = HttpHead(status, headers)
--- a/src/chervilwing/pollers.py
+++ b/src/chervilwing/pollers.py
@@ -1,19 +1,18 @@
-"""An epoll poller that calls the owner of a ready socket, without an event."""
+"""An epoll poller that calls the owner of a ready socket instead of firing events."""
 
 import select
 
 from circuits.core.pollers import EPoll
 
-GONE = select.EPOLLHUP | select.EPOLLERR
+CLOSED_EVENTS = select.EPOLLHUP | select.EPOLLERR
 
 
 class DirectPoller(EPoll):
-    """Tell a socket's owner that it is ready by a call.
+    """Call ``handle_ready(sock, readable, writable)`` on a socket's owner.
 
-    circuits' poller fires an event for each ready socket, 20 us of processor time by
-    bench/path.py; a node passes 9,400 tokens a second (letter 1), each a ready socket.
-    Owners have ``handle_ready(sock, readable, writable)``. The timers, the loop and all
-    other events stay circuits' own.
+    circuits' poller fires an event for each ready socket, which takes 20 us of
+    processor time (bench/path.py). A node passes 9,400 tokens a second, and each makes
+    a socket ready. The timers, the event loop and all other events remain circuits'.
     """
 
     def __init__(self):
@@ -21,7 +20,7 @@
         self._owners = {}
 
     def watch(self, owner, sock, reading, writing):
-        """Report when the socket is ready for what is asked, or stop reporting."""
+        """Call ``owner`` when ``sock`` is ready; replace an earlier watch on it."""
         mask = (select.EPOLLIN if reading else 0) | (select.EPOLLOUT if writing else 0)
         fileno = sock.fileno()
         if fileno in self._owners:
@@ -30,8 +29,8 @@
             self._poller.register(fileno, mask)
         self._owners[fileno] = (owner, sock)
 
-    def forget(self, sock):
-        """Stop reporting a socket that is about to be closed."""
+    def unwatch(self, sock):
+        """Stop watching a socket; must be called before it is closed."""
         fileno = sock.fileno()
         if self._owners.pop(fileno, None) is not None:
             self._poller.unregister(fileno)
@@ -42,7 +41,7 @@
             super()._process(fileno, event)
             return
         owner, sock = found
-        gone = event & GONE
+        closed = event & CLOSED_EVENTS
         owner.handle_ready(
-            sock, event & select.EPOLLIN or gone, event & select.EPOLLOUT or gone
+            sock, event & select.EPOLLIN or closed, event & select.EPOLLOUT or closed
         )
--- a/src/chervilwing/sockets.py
+++ b/src/chervilwing/sockets.py
@@ -1,8 +1,8 @@
 """Non-blocking TCP sockets on circuits' poller: accept, dial, read and write.
 
-`circuits.net` fires three events for each chunk that passes and gives no sign when a
-slow reader has caught up. This component is called by the poller, tries each write at
-once and knows the size of its buffers.
+`circuits.net` fires three events for each chunk of data and doesn't report when a slow
+reader has caught up. Here the poller calls the component directly, each write is tried
+at once, and the size of the write buffers is known.
 """
 
 import errno
@@ -19,55 +19,56 @@
 READ_SIZE = 65536
 ACCEPTS_PER_EVENT = 64
 BACKLOG = 1024
-# Bytes waiting for a slow reader before its sender is asked to pause, and the level at
-# which the sender may go on. Load: hundreds of streams with some stalled readers. Harm:
-# memory for control is 128 MB a node (letter 1); 590 streams at 64 KB stay under 40 MB.
+# Bytes buffered for a slow reader above which its sender must pause, and the level at
+# which the sender may continue. They bound the memory for stalled readers: 590 streams
+# of 64 KB stay under 40 MB, and a node has 128 MB for the control plane.
 HIGH_WATER = 65536
 LOW_WATER = 16384
-# What the kernel may keep for one reader; left alone it grows to 4 MB and more, and an
-# engine would write a whole answer to a caller that reads nothing. Callers are at most
-# three milliseconds away: 128 KB in flight still carry 40 MB a second.
-KERNEL_BUFFER = 131072
-# Until a silent path counts as dead: three lost packets in a row are sent again within
-# 1.4 s, and callers of quick requests leave after four seconds.
+# Bytes of a socket's kernel buffer in each direction. By default it grows to 4 MB and
+# more, so that an engine would write a whole answer to a caller that reads nothing.
+# Callers are at most three milliseconds away, so 128 KB in flight carry 40 MB a second.
+KERNEL_BUFFER_SIZE = 131072
+# Milliseconds without an acknowledgement after which a connection is closed. Three lost
+# packets in a row are retransmitted within 1.4 s, and callers of quick requests give up
+# after four seconds.
 PATH_TIMEOUT_MS = 2000
-PROBE_SECONDS = 1
-PROBES = 2
+KEEPALIVE_SECONDS = 1
+KEEPALIVE_PROBES = 2
 WOULD_BLOCK = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINPROGRESS)
 
 
-def prepare(sock):
-    """Set the options of a new connection."""
+def configure_socket(sock):
+    """Make a new socket non-blocking and set its buffer sizes and TCP_NODELAY."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BUFFER)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL_BUFFER)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BUFFER_SIZE)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL_BUFFER_SIZE)
 
 
-def watch_path(sock):
-    """Let the system end a connection whose path has gone silent.
+def set_path_timeout(sock):
+    """Make the kernel close a connection whose path no longer responds.
 
-    Guard: behind a network partition nothing is answered and nothing is reset, so that
-    a call waits out its caller's whole deadline. Bytes that aren't acknowledged, or
-    probes of a quiet connection, end it within PATH_TIMEOUT; an upstream that is slow
-    still acknowledges.
+    During a network partition nothing is answered or reset, so that a call would wait
+    for its caller's whole deadline. With these options, unacknowledged data and
+    unanswered keepalive probes close the connection within PATH_TIMEOUT_MS. The kernel
+    of a slow upstream still acknowledges.
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, PATH_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_SECONDS)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_SECONDS)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
 
 class StreamHandlers(NamedTuple):
-    """What the owner of the sockets does when one of them changes."""
+    """Callbacks for the events of a connection."""
 
     opened: Callable[["Conn"], None]
     received: Callable[["Conn", bytes], None]
     closed: Callable[["Conn", OSError | None], None]
     drained: Callable[["Conn"], None] = lambda conn: None
-    # The other end has sent its last byte; True keeps the connection for writing.
-    ended: Callable[["Conn"], bool] = lambda conn: False
+    # Called when the peer has closed its sending half; True keeps ours open.
+    half_closed: Callable[["Conn"], bool] = lambda conn: False
 
 
 class Conn:
@@ -79,8 +80,8 @@
         "connecting",
         "closing",
         "lingering",
-        "ended",
-        "heard",
+        "half_closed",
+        "last_activity",
         "idle_limit",
         "paused",
         "pending",
@@ -97,10 +98,10 @@
         self.connecting = connecting
         self.closing = False
         self.lingering = False
-        self.ended = False
-        # When its owner last had a sign of the other end, on the monotonic clock.
-        self.heard = 0.0
-        # Seconds that its other end keeps it open without use.
+        self.half_closed = False
+        # Monotonic time at which the owner last received data, or connected.
+        self.last_activity = 0.0
+        # Seconds for which the connection may be reused after its last activity.
         self.idle_limit = float("inf")
         self.paused = False
         self.pending = deque()
@@ -112,23 +113,23 @@
 
     @property
     def congested(self):
-        """Tell whether more bytes wait for the reader than a sender should add to."""
+        """Return whether so much data is buffered that its sender should pause."""
         return self.pending_size > HIGH_WATER
 
 
 class Streams(BaseComponent):
-    """Own the sockets of one role and report what happens on them."""
+    """Own the sockets of one role and report their events to its callbacks."""
 
     channel = "streams"
 
     def __init__(self, poller, handlers, channel):
         super().__init__(channel=channel)
         self._poller = poller
-        self._owner = handlers
+        self._callbacks = handlers
         self._conns: dict[socket.socket, Conn] = {}
         self._listener: socket.socket | None = None
         self._listener_paused = False
-        self._failed: list[tuple[Conn, OSError]] = []
+        self._failed_dials: list[tuple[Conn, OSError]] = []
 
     def listen(self, address):
         """Accept connections and return the address that was bound."""
@@ -142,21 +143,21 @@
         return Address(*sock.getsockname())
 
     def stop_listening(self):
-        """Refuse new connections; open ones go on."""
+        """Close the listener; open connections continue."""
         if self._listener is None:
             return
-        self._poller.forget(self._listener)
+        self._poller.unwatch(self._listener)
         self._listener.close()
         self._listener = None
 
     def dial(self, address):
-        """Start to connect; ``opened`` or ``closed`` follows."""
+        """Return a new connection; ``opened`` or ``closed`` is called later."""
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as exc:
             return self._fail_later(address, exc)
-        prepare(sock)
-        watch_path(sock)
+        configure_socket(sock)
+        set_path_timeout(sock)
         conn = Conn(sock, address, connecting=True)
         self._conns[sock] = conn
         sock.connect_ex(address)
@@ -166,30 +167,29 @@
     def _fail_later(self, address, exc):
         """Return a connection that is reported closed at the next tick.
 
-        Guard: out of file descriptors there is no socket. Raised into the dialler, that
-        would end the handling of whatever it was dialling for, and its caller would
-        wait for ever; reported as a failed connection, the request is refused as not
-        run.
+        Without a free file descriptor no socket can be created. Raised here, the error
+        would abort the handling of the request, whose caller would wait forever.
+        Reported as a failed connection, the request is refused as not run.
         """
         conn = Conn(object(), address, connecting=True)
-        self._failed.append((conn, exc))
+        self._failed_dials.append((conn, exc))
         return conn
 
     def send(self, conn, data):
-        """Write now what the socket takes and keep the rest."""
+        """Write what the socket accepts now and buffer the rest."""
         if conn.sock not in self._conns or conn.closing:
             return
         if conn.pending or conn.connecting:
-            self._keep(conn, data)
+            self._buffer_data(conn, data)
             return
         sent = self._try_send(conn, data)
         if sent < len(data):
             self._watch(conn, conn.reading, writing=True)
-            self._keep(conn, memoryview(data)[sent:])
+            self._buffer_data(conn, memoryview(data)[sent:])
 
     def pause(self, conn):
-        """Stop reading, so that the other end feels the pressure."""
-        if conn.paused or conn.ended or conn.sock not in self._conns:
+        """Stop reading, so that TCP flow control slows the peer down."""
+        if conn.paused or conn.half_closed or conn.sock not in self._conns:
             return
         conn.paused = True
         self._watch(conn, False, conn.writing)
@@ -202,21 +202,21 @@
         self._watch(conn, True, conn.writing)
 
     def close(self, conn):
-        """Close once everything kept has been written."""
+        """Close the connection once all buffered data has been written."""
         if conn.pending and not conn.connecting:
             conn.closing = True
             return
         self.drop(conn)
 
     def linger(self, conn):
-        """Close towards the other end, and read on until it does the same.
+        """Close the sending half, and read until the peer closes its own.
 
-        Guard: a socket closed with unread bytes resets the connection, and the reset
-        destroys an answer that the other end has not read yet: a caller that sends too
-        much would see a broken connection in place of the failure that says so. The
-        owner drops the connection when the other end takes too long.
+        Closing a socket with unread data resets the connection, and the reset discards
+        an answer that the peer has not read yet: a caller whose request is too large
+        would see a broken connection in place of the error. The owner has to drop the
+        connection if the peer takes too long.
         """
-        if conn.ended:
+        if conn.half_closed:
             self.close(conn)
             return
         conn.closing = conn.lingering = True
@@ -225,15 +225,15 @@
             self._shut_down(conn)
 
     def drop(self, conn, exc=None):
-        """Close at once and report it."""
+        """Close the connection at once and call ``closed``."""
         if self._conns.pop(conn.sock, None) is None:
             return
-        self._poller.forget(conn.sock)
+        self._poller.unwatch(conn.sock)
         conn.sock.close()
-        self._owner.closed(conn, exc)
+        self._callbacks.closed(conn, exc)
 
     def count(self):
-        """Return how many connections are open."""
+        """Return the number of connections, including those being opened."""
         return len(self._conns)
 
     def _shut_down(self, conn):
@@ -242,7 +242,7 @@
         except OSError as exc:
             self.drop(conn, exc)
 
-    def _keep(self, conn, data):
+    def _buffer_data(self, conn, data):
         conn.pending.append(data)
         conn.pending_size += len(data)
 
@@ -252,8 +252,8 @@
         except OSError as exc:
             if exc.errno in WOULD_BLOCK:
                 return 0
-            # The reader learns of the loss from the poller in its own turn; closing
-            # here would call back into a sender that is in the middle of its work.
+            # The poller reports the broken connection later; closing it here would call
+            # back into the sender in the middle of its work.
             return 0
         conn.sent += sent
         return sent
@@ -261,8 +261,8 @@
     def handle_ready(self, sock, readable, writable):
         """Read from, write to or accept on a socket that the poller found ready.
 
-        Guard: a failure in the handling of one connection must end that connection and
-        nothing else; raised into the loop it would leave the caller waiting for ever.
+        An exception in the handling of one connection closes that connection only;
+        raised into the event loop, it would leave the caller waiting forever.
         """
         conn = self._conns.get(sock)
         if conn is None:
@@ -284,7 +284,7 @@
         self._poller.watch(self, conn.sock, reading, writing)
 
     def _on_readable(self, conn):
-        # A readable event for a paused connection means that the other end is gone.
+        # A readable event for a paused connection means that the peer has closed it.
         try:
             data = conn.sock.recv(READ_SIZE)
         except OSError as exc:
@@ -294,20 +294,20 @@
         if not data:
             self._end_reading(conn)
         elif not conn.closing:
-            self._owner.received(conn, data)
+            self._callbacks.received(conn, data)
 
     def _end_reading(self, conn):
-        # Nothing is read once the other end has ended; only a reset reports it again.
-        if conn.ended or not self._keeps_writing(conn):
+        # Nothing is read after the peer's half-close, so a second event is a reset.
+        if conn.half_closed or not self._stays_open_for_writing(conn):
             self.drop(conn)
             return
-        conn.ended = True
+        conn.half_closed = True
         self._watch(conn, False, conn.writing)
 
-    def _keeps_writing(self, conn):
+    def _stays_open_for_writing(self, conn):
         if conn.closing:
             return bool(conn.pending)
-        return self._owner.ended(conn) and conn.sock in self._conns
+        return self._callbacks.half_closed(conn) and conn.sock in self._conns
 
     def _on_writable(self, conn):
         if conn.connecting and not self._finish_connect(conn):
@@ -322,26 +322,26 @@
                 if exc.errno not in WOULD_BLOCK:
                     self._pause_listener()
                 return
-            prepare(sock)
+            configure_socket(sock)
             conn = Conn(sock, Address(*address), connecting=False)
             self._conns[sock] = conn
             self._watch(conn, reading=True, writing=False)
-            self._owner.opened(conn)
+            self._callbacks.opened(conn)
 
     def _pause_listener(self):
-        """Take no connection until the next tick.
+        """Accept no connection until the next tick.
 
-        Guard: out of file descriptors, accept fails and the poller reports the listener
-        again at once: the loop spins, and those it could serve wait.
+        Without a free file descriptor accept fails and the poller reports the listener
+        again at once, so that the loop would spin and delay the open connections.
         """
         self._listener_paused = True
         self._poller.watch(self, self._listener, reading=False, writing=False)
 
     @handler("tick", channel="*")
     def _on_tick(self):
-        failed, self._failed = self._failed, []
+        failed, self._failed_dials = self._failed_dials, []
         for conn, exc in failed:
-            self._owner.closed(conn, exc)
+            self._callbacks.closed(conn, exc)
         if self._listener_paused and self._listener is not None:
             self._listener_paused = False
             self._poller.watch(self, self._listener, reading=True, writing=False)
@@ -354,12 +354,12 @@
         try:
             conn.sock.getpeername()
         except OSError:
-            # Guard: within one batch of the poller a closed socket's number can be that
-            # of a new one, which then looks ready before it is connected.
+            # Within one batch of events, a new socket can get the file descriptor of a
+            # closed one and receive its event before it is connected.
             return False
         conn.connecting = False
         self._watch(conn, not conn.paused, writing=True)
-        self._owner.opened(conn)
+        self._callbacks.opened(conn)
         return conn.sock in self._conns
 
     def _send_pending(self, conn):
@@ -368,17 +368,17 @@
             sent = self._try_send(conn, data)
             conn.pending_size -= sent
             if sent < len(data):
-                # A view: copying the rest of a long answer at each write is quadratic.
+                # Copying the rest at each write would take quadratic time.
                 conn.pending[0] = memoryview(data)[sent:]
                 break
             conn.pending.popleft()
         if not conn.pending:
             self._watch(conn, conn.reading, writing=False)
-            if conn.lingering and not conn.ended:
+            if conn.lingering and not conn.half_closed:
                 self._shut_down(conn)
                 return
             if conn.closing:
                 self.drop(conn)
                 return
         if conn.pending_size <= LOW_WATER:
-            self._owner.drained(conn)
+            self._callbacks.drained(conn)
--- a/src/chervilwing/web.py
+++ b/src/chervilwing/web.py
@@ -1,4 +1,4 @@
-"""The HTTP side towards callers: read requests and write bounded answers."""
+"""HTTP server: read callers' requests and write answers with bounded buffers."""
 
 import json
 import time
@@ -17,24 +17,24 @@
 EVENTS_TYPE = "text/event-stream"
 CHUNKED_END = b"0\r\n\r\n"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-BODILESS = (204, 304)
-# Seconds that a caller has to close its half after our last byte. Load: callers that
-# are refused while they send megabytes. Harm: each holds a socket until it is done.
+BODILESS_STATUSES = (204, 304)
+# Seconds within which a caller must close its half of a connection after the last byte
+# of the answer. Callers refused during a large upload would hold their sockets longer.
 LINGER_TIMEOUT = 2.0
 
 
 class WebHandlers(NamedTuple):
-    """What the owner does with a request and with a caller that left."""
+    """Callbacks for a whole request and for a caller that has disconnected."""
 
     requested: Callable[["Exchange"], None]
-    left: Callable[["Exchange"], None]
+    disconnected: Callable[["Exchange"], None]
 
 
 class WebOptions(NamedTuple):
-    """How callers of one listener may speak.
+    """Protocol options of one listener.
 
-    ``chunked`` takes request bodies in chunks. ``half_open`` keeps an exchange whose
-    caller has closed its sending half.
+    ``chunked`` accepts chunked request bodies. ``half_open`` still answers a caller
+    that has closed its sending half.
     """
 
     chunked: bool = False
@@ -42,7 +42,7 @@
 
 
 class Exchange:
-    """One request and the answer to it on the caller's connection."""
+    """One request and its answer on a caller's connection."""
 
     __slots__ = (
         "req",
@@ -50,7 +50,7 @@
         "gone",
         "finished",
         "on_drain",
-        "sized",
+        "has_length",
         "_web",
         "_conn",
         "tag",
@@ -62,29 +62,31 @@
         self.finished = False
         self.gone = False
         self.on_drain = None
-        self.sized = False
+        self.has_length = False
         self.tag = None
         self._web = web
         self._conn = conn
 
     @property
     def congested(self):
-        """Tell whether the caller reads more slowly than the answer comes."""
+        """Return whether the caller reads more slowly than the answer is written."""
         return self._conn.congested
 
     @property
     def host(self):
-        """Return the caller's IP number, or that of what stands before it."""
+        """Return the IP address of the caller, or of the proxy in front of it."""
         return self._conn.address.host
 
     def answer(self, status, body=b"", content_type=JSON_TYPE, headers=None):
         """Send a whole answer."""
         fields = {"Content-Type": content_type, "Content-Length": str(len(body))}
-        if status in BODILESS:
+        if status in BODILESS_STATUSES:
             fields = {}
-        data = encode_head(status, fields | (headers or {}) | self._persistence())
+        data = encode_head(
+            status, fields | (headers or {}) | self._make_connection_field()
+        )
         self.started = True
-        bodiless = status in BODILESS or self.req.method == "HEAD"
+        bodiless = status in BODILESS_STATUSES or self.req.method == "HEAD"
         self._write(data if bodiless else data + body)
         self._end()
 
@@ -94,7 +96,7 @@
         self.answer(status, body, JSON_TYPE, headers)
 
     def refuse(self, exc, headers=None):
-        """Send a failure, or cut a stream that can't carry one any more."""
+        """Send a failure as a problem document, or abort an answer already started."""
         if self.started:
             self.abort()
             return
@@ -103,62 +105,66 @@
         self.answer(exc.status, body, PROBLEM_TYPE, extra | (headers or {}))
 
     def start(self, status, content_type, headers=None):
-        """Open an answer that comes in pieces.
+        """Send the head of an answer whose body is written in pieces.
 
-        A caller of HTTP/1.0 can't read chunks: the end of the connection ends its
-        answer, so that the connection isn't kept.
+        An HTTP/1.0 caller can't read chunks: its answer ends with the connection, which
+        is therefore not kept alive.
         """
         fields = {"Content-Type": content_type}
         if self.req.chunks:
             fields["Transfer-Encoding"] = "chunked"
         else:
             self.req = self.req._replace(keep_alive=False)
-        data = encode_head(status, fields | (headers or {}) | self._persistence())
+        data = encode_head(
+            status, fields | (headers or {}) | self._make_connection_field()
+        )
         self.started = True
         self._write(data)
 
     def relay_head(self, status, headers, length):
-        """Open an answer with an upstream's own header fields.
+        """Send the head of an answer with the upstream's own header fields.
 
-        ``length`` is that of the body, or None for one that comes in pieces.
+        ``length`` is the body's length in bytes, or None if it is not known.
         """
-        self.sized = length is not None
-        if self.sized:
-            framing = {} if status in BODILESS else {"Content-Length": str(length)}
+        self.has_length = length is not None
+        if self.has_length:
+            framing = (
+                {} if status in BODILESS_STATUSES else {"Content-Length": str(length)}
+            )
         elif self.req.chunks:
             framing = {"Transfer-Encoding": "chunked"}
         else:
             framing = {}
             self.req = self.req._replace(keep_alive=False)
         self.started = True
-        fields = {**headers, **framing, **self._persistence()}
+        fields = {**headers, **framing, **self._make_connection_field()}
         self._write(encode_head(status, fields))
 
     def write(self, data):
-        """Send one piece."""
-        # An empty chunk would be the end mark.
+        """Send one piece of the body."""
+        # An empty chunk would end the body.
         if data:
             self._write(self._frame(data))
 
     def finish(self, data=b""):
-        """Send a last piece, if any, and the end mark."""
-        end = CHUNKED_END if self.req.chunks and not self.sized else b""
+        """Send the last piece of the body, if any, and end the answer."""
+        end = CHUNKED_END if self.req.chunks and not self.has_length else b""
         self._write((self._frame(data) if data else b"") + end)
         self._end()
 
     def _frame(self, data):
-        if self.sized or not self.req.chunks:
+        if self.has_length or not self.req.chunks:
             return data
         return b"%x\r\n%b\r\n" % (len(data), data)
 
     def abort(self):
-        """Cut the connection: the missing end mark tells the answer is not whole."""
+        """Close the connection; without its end the answer is visibly incomplete."""
         if self.gone or self.finished:
             return
         self.finished = True
-        self._web.cut(self._conn)
+        self._web.drop(self._conn)
 
-    def _persistence(self):
+    def _make_connection_field(self):
         keep = self.req.keep_alive and not self._web.stopping
         return {"Connection": "keep-alive" if keep else "close"}
 
@@ -174,17 +180,24 @@
 
 
 class _Caller:
-    """What is known of one caller's connection."""
+    """State of one caller's connection."""
 
-    __slots__ = ("reader", "exchange", "since", "sent", "advancing", "idle_limit")
+    __slots__ = (
+        "reader",
+        "exchange",
+        "waiting_since",
+        "last_sent",
+        "serving",
+        "idle_limit",
+    )
 
     def __init__(self, reader, now, idle_limit):
         self.reader = reader
         self.idle_limit = idle_limit
         self.exchange = None
-        self.since = now
-        self.sent = 0
-        self.advancing = False
+        self.waiting_since = now
+        self.last_sent = 0
+        self.serving = False
 
 
 class Web(BaseComponent):
@@ -196,11 +209,11 @@
         super().__init__(channel=channel)
         self._cfg = cfg
         self._options = options or WebOptions()
-        self._owner = handlers
+        self._callbacks = handlers
         self.stopping = False
         self._callers = set()
         streams = StreamHandlers(
-            self._opened, self._received, self._closed, self._drained, self._ended
+            self._opened, self._received, self._closed, self._drained, self._half_closed
         )
         self._streams = Streams(poller, streams, f"{channel}-streams").register(self)
 
@@ -209,9 +222,9 @@
         return self._streams.listen(address)
 
     def stop_listening(self):
-        """Close the listener and end keep-alive; requests in flight go on.
+        """Close the listener and end keep-alive; requests in flight continue.
 
-        A request that has come in part is in flight too.
+        A partly received request is in flight too.
         """
         self.stopping = True
         self._streams.stop_listening()
@@ -220,50 +233,50 @@
                 self._streams.close(conn)
 
     def send(self, conn, data):
-        """Write to a caller."""
+        """Write bytes to a caller's connection."""
         self._streams.send(conn, data)
 
-    def cut(self, conn):
+    def drop(self, conn):
         """Close a caller's connection at once."""
         self._streams.drop(conn)
 
     def complete(self, conn, keep_alive):
-        """Close the connection, or go on with what the caller has sent meanwhile."""
+        """Close the connection, or serve the requests received in the meantime."""
         caller = conn.state
         caller.exchange = None
-        caller.since = time.monotonic()
+        caller.waiting_since = time.monotonic()
         caller.idle_limit = self._cfg.idle_timeout
-        if self.stopping or conn.ended or not keep_alive:
+        if self.stopping or conn.half_closed or not keep_alive:
             self._streams.linger(conn)
             return
-        self._advance(conn)
+        self._serve_received(conn)
 
     def count(self):
-        """Return how many callers are connected."""
+        """Return the number of connected callers."""
         return len(self._callers)
 
     @handler("tick", channel="*")
     def _on_tick(self):
-        """Cut off slow senders, idle connections and readers that have stopped.
+        """Close connections that are idle, send too slowly or have stopped reading.
 
-        Load: callers that open connections and send or read a byte now and then. Harm:
-        each holds a socket and a buffer for ever. The limits are settings in seconds.
+        Callers that open connections and send or read a byte now and then would each
+        hold a socket and a buffer forever. The limits are settings in seconds.
         """
         now = time.monotonic()
         for conn in list(self._callers):
             if conn.state.exchange is None:
-                self._check_waiting(conn, now)
+                self._check_timeouts(conn, now)
 
-    def _check_waiting(self, conn, now):
+    def _check_timeouts(self, conn, now):
         caller = conn.state
-        if conn.sent != caller.sent:
-            caller.sent, caller.since = conn.sent, now
-        waited = now - caller.since
+        if conn.sent != caller.last_sent:
+            caller.last_sent, caller.waiting_since = conn.sent, now
+        waited = now - caller.waiting_since
         if conn.lingering and not conn.pending:
             if waited > LINGER_TIMEOUT:
                 self._streams.drop(conn)
         elif conn.pending or caller.reader.idle:
-            # A caller counts on the limit that stood when it got its last answer.
+            # A caller relies on the limit in force when it received its last answer.
             if waited > max(caller.idle_limit, self._cfg.idle_timeout):
                 self._streams.drop(conn)
         elif waited > self._cfg.head_timeout:
@@ -277,35 +290,35 @@
     def _received(self, conn, data):
         caller = conn.state
         if caller.exchange is None and caller.reader.idle:
-            caller.since = time.monotonic()
+            caller.waiting_since = time.monotonic()
         caller.reader.feed(data)
-        self._advance(conn)
+        self._serve_received(conn)
 
-    def _advance(self, conn):
-        """Serve what has come, one request at a time and in order.
+    def _serve_received(self, conn):
+        """Serve the received requests one at a time and in order.
 
-        Guard: a caller may pipeline hundreds of requests. An answer that is given at
-        once calls this again from within, which would exhaust the stack; answers that
-        nobody reads would pile up, and so would requests.
+        A caller may pipeline hundreds of requests. An answer sent at once calls this
+        method recursively, which would exhaust the stack, hence ``serving``. While the
+        caller doesn't read its answers, no further request is served or read.
         """
         caller = conn.state
-        if caller.advancing:
+        if caller.serving:
             return
-        caller.advancing = True
+        caller.serving = True
         while caller.exchange is None and not (conn.congested or conn.closing):
-            if not self._take(conn):
+            if not self._serve_next(conn):
                 break
-        caller.advancing = False
+        caller.serving = False
         if caller.exchange is None and not conn.congested:
             self._streams.resume(conn)
         elif not caller.reader.idle:
             self._streams.pause(conn)
 
-    def _take(self, conn):
-        """Serve the next whole request, if there is one."""
+    def _serve_next(self, conn):
+        """Serve the next whole request and return whether there was one."""
         caller = conn.state
         try:
-            req = caller.reader.take()
+            req = caller.reader.pop_request()
         except ChervilwingError as exc:
             self._reject(conn, exc)
             return False
@@ -314,26 +327,26 @@
                 self._streams.send(conn, CONTINUE)
             return False
         caller.exchange = Exchange(req, self, conn)
-        self._owner.requested(caller.exchange)
+        self._callbacks.requested(caller.exchange)
         return True
 
     def _reject(self, conn, exc):
-        conn.state.exchange = Exchange(NO_REQUEST, self, conn)
+        conn.state.exchange = Exchange(UNREADABLE_REQUEST, self, conn)
         conn.state.exchange.refuse(exc)
 
     def _drained(self, conn):
         exchange = conn.state.exchange
         if exchange is None:
-            self._advance(conn)
+            self._serve_received(conn)
         elif exchange.on_drain is not None:
             exchange.on_drain()
 
-    def _ended(self, conn):
-        """Tell whether a caller that has closed its half still waits for an answer.
+    def _half_closed(self, conn):
+        """Return whether a caller that has closed its sending half still waits.
 
-        Guard: a caller that has left looks the same until something is written to it.
-        A stream is written to all the time; before that, an early answer that every
-        client passes over brings out the reset (RFC 9110, section 15.2).
+        A caller that has disconnected looks the same until something is written to it.
+        A stream is written to constantly; before it starts, an interim response, which
+        every client ignores, triggers the reset (RFC 9110, section 15.2).
         """
         exchange = conn.state.exchange
         if exchange is None or not self._options.half_open:
@@ -348,33 +361,37 @@
         if exchange is None or exchange.finished:
             return
         exchange.gone = True
-        self._owner.left(exchange)
+        self._callbacks.disconnected(exchange)
 
 
-class _NoRequest(NamedTuple):
+class _UnreadableRequest(NamedTuple):
     method: str = ""
     keep_alive: bool = False
     chunks: bool = True
 
 
-NO_REQUEST = _NoRequest()
+UNREADABLE_REQUEST = _UnreadableRequest()
 
 
 def ignore(exchange, exc):
-    """Do nothing about a failure but answer it."""
+    """Take no action on a failure."""
+
 
+def guard(serve, on_failure=ignore):
+    """Return ``serve`` wrapped so that each failure is answered as a problem document.
 
-def guard(serve, note=ignore):
-    """Answer every typed failure of ``serve`` as a problem document, and note it."""
+    ``on_failure`` is called first. Exceptions that are no ChervilwingError are answered
+    as internal failures and raised again.
+    """
 
     def served(exchange):
         try:
             serve(exchange)
         except ChervilwingError as exc:
-            note(exchange, exc)
+            on_failure(exchange, exc)
             exchange.refuse(exc)
         except Exception:
-            note(exchange, ChervilwingError())
+            on_failure(exchange, ChervilwingError())
             exchange.refuse(ChervilwingError())
             raise
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Upstreams that refuse, break off, cross answers or fall silent."""
+"""Tests of calls to upstreams that refuse, break, mix up answers or go silent."""
 
 import socket
 import threading
@@ -32,32 +32,32 @@
 SILENCE = 0.3
 
 
-class Heard:
-    """What one call's handlers were told."""
+class CallRecorder:
+    """Records what a call's handlers receive."""
 
     def __init__(self):
         self.body = b""
-        self.over = False
+        self.finished = False
         self.failure = None
         self.exchange = None
         self.on_data = lambda: None
         self.handlers = CallHandlers(
-            lambda status, headers: None, self.take, self.end, self.fail
+            lambda status, headers: None, self.add_data, self.finish, self.fail
         )
 
-    def take(self, data):
+    def add_data(self, data):
         self.body += data
         self.on_data()
 
-    def end(self):
-        self.over = True
+    def finish(self):
+        self.finished = True
 
     def fail(self, failure):
-        self.over, self.failure = True, failure
+        self.finished, self.failure = True, failure
 
 
-def echo(conn, method, path, body):
-    """Answer the path."""
+def answer_path(conn, method, path, body):
+    """Answer a request with its path."""
     size = len(path)
     conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
     conn.sendall(path.encode())
@@ -70,65 +70,70 @@
         self.addCleanup(self.loop.run_until, lambda: not self.client.count_idle())
 
     def submit(self, port, path="/", **options):
-        """Start a call and return what is heard of it."""
-        heard = Heard()
+        """Start a call and return its recorder."""
+        recorder = CallRecorder()
         call = Call(Address(HOST, port), "GET", path, {}, **options)
-        heard.exchange = self.client.submit(call, heard.handlers)
-        return heard
+        recorder.exchange = self.client.submit(call, recorder.handlers)
+        return recorder
 
     def call(self, port, path="/", **options):
-        """Make a call and return it once it has ended."""
-        heard = self.submit(port, path, **options)
-        self.loop.run_until(lambda: heard.over)
-        return heard
+        """Make a call and return its recorder once it has ended."""
+        recorder = self.submit(port, path, **options)
+        self.loop.run_until(lambda: recorder.finished)
+        return recorder
 
     def start(self, script):
         upstream = RawUpstream(script)
         self.addCleanup(upstream.close)
         return upstream
 
-    def test_call_whose_time_is_over_when_it_connects_is_not_sent(self):
-        # A holder is frozen while its order's connection opens; resumed, it would
-        # send an order of a lease that has lapsed, and a careless engine obeys.
+    def test_call_that_connects_after_send_before_is_not_sent(self):
+        # The lease holder is suspended while the connection for its order opens. Once
+        # resumed it would send an order under an expired lease, and an engine that
+        # doesn't check the lease would follow it.
         seen = []
-        upstream = self.start(lambda *call: seen.append(call) or echo(*call))
-        heard = self.call(upstream.port, send_before=time.monotonic())
-        self.assertEqual((heard.failure.outcome, seen), (NOT_RUN, []))
+        upstream = self.start(lambda *call: seen.append(call) or answer_path(*call))
+        recorder = self.call(upstream.port, send_before=time.monotonic())
+        self.assertEqual((recorder.failure.outcome, seen), (NOT_RUN, []))
         late = time.monotonic() + SILENCE * 100
         self.assertEqual(self.call(upstream.port, send_before=late).body, b"/")
 
-    def check_failure(self, heard, kind, outcome):
-        self.assertIs(type(heard.failure), kind, heard.body)
-        self.assertEqual(heard.failure.outcome, outcome)
+    def check_failure(self, recorder, kind, outcome):
+        self.assertIs(type(recorder.failure), kind, recorder.body)
+        self.assertEqual(recorder.failure.outcome, outcome)
 
     def test_a_connection_carries_one_call_at_a_time(self):
-        upstream = self.start(echo)
+        upstream = self.start(answer_path)
         for turn in range(3):
             calls = [self.submit(upstream.port, f"/{turn}/{i}") for i in range(5)]
-            self.loop.run_until(lambda calls=calls: all(item.over for item in calls))
-            for i, heard in enumerate(calls):
-                self.assertEqual(heard.body, b"/%d/%d" % (turn, i))
+            self.loop.run_until(
+                lambda calls=calls: all(item.finished for item in calls)
+            )
+            for i, recorder in enumerate(calls):
+                self.assertEqual(recorder.body, b"/%d/%d" % (turn, i))
         self.assertEqual(len(upstream.conns), 5)
 
-    def test_bytes_that_nobody_asked_for_end_the_connection(self):
-        # An engine answers twice, or late. Its bytes must not start the next answer.
+    def test_unexpected_bytes_close_the_connection(self):
+        # An engine answers one request twice. The extra bytes must not become part of
+        # the next answer.
         def answer_twice(conn, *call):
-            echo(conn, *call)
-            echo(conn, "GET", "/crossed", b"")
+            answer_path(conn, *call)
+            answer_path(conn, "GET", "/crossed", b"")
 
-        # A second answer that comes after the next call was sent can't be told from its
-        # answer but by an id (Call.expects), so that each call waits for the end.
+        # A second answer that arrives after the next call was sent can only be
+        # recognised by an id (Call.expects), so each call here waits until the
+        # connection has closed.
         upstream = self.start(answer_twice)
         for i in range(5):
             self.assertEqual(self.call(upstream.port, f"/{i}").body, b"/%d" % i)
             self.loop.run_until(lambda: not self.client.count_idle())
         self.assertEqual(len(upstream.conns), 5)
 
-    def test_a_cancelled_call_leaves_nothing_behind(self):
+    def test_a_cancelled_call_does_not_affect_the_next(self):
         def answer_late(conn, method, path, body):
             if path == "/dropped":
                 conn.recv(1)
-            echo(conn, method, path, body)
+            answer_path(conn, method, path, body)
 
         upstream = self.start(answer_late)
         for i in range(5):
@@ -136,11 +141,11 @@
             self.loop.run_until(lambda i=i: upstream.count("/dropped") == i + 1)
             self.client.cancel(dropped.exchange)
             self.assertEqual(self.call(upstream.port, f"/{i}").body, b"/%d" % i)
-            self.assertEqual((dropped.body, dropped.over), (b"", False))
+            self.assertEqual((dropped.body, dropped.finished), (b"", False))
 
     def test_a_connection_closed_while_idle_is_not_used(self):
         def answer_and_close(conn, *call):
-            echo(conn, *call)
+            answer_path(conn, *call)
             conn.shutdown(socket.SHUT_RDWR)
 
         upstream = self.start(answer_and_close)
@@ -149,20 +154,20 @@
             self.loop.run_until(lambda: not self.client.count_idle())
         self.assertEqual(len(upstream.conns), 3)
 
-    def test_a_paused_connection_is_read_again_by_its_next_call(self):
-        # A slow reader's answer ends in the very read that made it pause. The next
-        # caller gets that connection and would wait for bytes that nobody reads.
-        upstream = self.start(echo)
+    def test_a_paused_connection_is_read_for_its_next_call(self):
+        # The read that paused a slow reader's answer also completed it. The next call
+        # on that connection would wait for an answer that is never read.
+        upstream = self.start(answer_path)
         first = self.submit(upstream.port, "/first")
         first.on_data = lambda: self.client.pause(first.exchange)
         self.loop.run_until(lambda: first.body)
-        self.loop.run_until(lambda: first.over)
+        self.loop.run_until(lambda: first.finished)
         second = self.call(upstream.port, "/second", silence_timeout=2.0)
         self.assertEqual((second.body, second.failure), (b"/second", None))
         self.client.pause(first.exchange)
         self.assertEqual(self.call(upstream.port, "/third").body, b"/third")
 
-    def test_what_is_said_of_a_call_that_failed(self):
+    def test_failed_calls_report_their_type_and_outcome(self):
         def cut(conn, *call):
             conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
             conn.shutdown(socket.SHUT_RDWR)
@@ -174,7 +179,7 @@
         def send_garbage(conn, *call):
             conn.sendall(b"\0\xff garbage")
 
-        def say_nothing(conn, *call):
+        def never_answer(conn, *call):
             conn.recv(1)
 
         for script, kind in (
@@ -182,72 +187,72 @@
             (answer_without_end, ConnectionBroken),
             (send_garbage, UpstreamFailed),
             (lambda conn, *call: conn.shutdown(socket.SHUT_RDWR), ConnectionBroken),
-            (say_nothing, UpstreamSilent),
+            (never_answer, UpstreamSilent),
         ):
             upstream = self.start(script)
             wait = SILENCE if kind is UpstreamSilent else 5.0
-            heard = self.call(upstream.port, silence_timeout=wait)
-            self.check_failure(heard, kind, UNKNOWN)
+            recorder = self.call(upstream.port, silence_timeout=wait)
+            self.check_failure(recorder, kind, UNKNOWN)
         port = upstream.port
         upstream.close()
         self.check_failure(self.call(port), ConnectionBroken, NOT_RUN)
 
-    def test_idle_connections_of_a_silent_path_are_retired(self):
-        # A middle box has lost track of every open connection; new ones work.
+    def test_idle_connections_of_a_silent_path_are_closed(self):
+        # A middlebox has dropped the state of all open connections; new ones work.
         silent = set()
 
         def answer(conn, *call):
             if conn not in silent:
-                echo(conn, *call)
+                answer_path(conn, *call)
 
         upstream = self.start(answer)
         calls = [self.submit(upstream.port) for _ in range(4)]
-        self.loop.run_until(lambda: all(item.over for item in calls))
+        self.loop.run_until(lambda: all(item.finished for item in calls))
         silent.update(upstream.conns)
-        heard = self.call(upstream.port, silence_timeout=SILENCE)
-        # A new connection was answered, the fifth: the upstream itself is alive.
-        self.check_failure(heard, PathSilent, UNKNOWN)
+        recorder = self.call(upstream.port, silence_timeout=SILENCE)
+        # The probe on a fifth connection was answered, so the upstream itself is up.
+        self.check_failure(recorder, PathSilent, UNKNOWN)
         self.assertEqual(self.call(upstream.port, "/new").body, b"/new")
         self.assertEqual(len(upstream.conns), 5)
 
-    def test_calls_on_a_silent_path_end_together(self):
-        # A middle box has lost track of all open connections. The second caller has
-        # been quiet for a moment only and would wait out a long limit of its own; a
-        # call that may not be repeated waits on, as it can't go elsewhere.
+    def test_calls_on_a_silent_path_fail_together(self):
+        # A middlebox has dropped the state of all open connections. The second call
+        # has been silent only briefly and would wait for its own long timeout. A call
+        # that must not be repeated keeps waiting, as it can't be sent elsewhere.
         silent = set()
 
-        go_on = threading.Event()
-        self.addCleanup(go_on.set)
+        release = threading.Event()
+        self.addCleanup(release.set)
 
         def answer(conn, method, path, body):
             if path == "/note":
-                go_on.wait(10)
+                release.wait(10)
             if conn not in silent:
-                echo(conn, method, path, body)
+                answer_path(conn, method, path, body)
 
         upstream = self.start(answer)
         calls = [self.submit(upstream.port) for _ in range(2)]
-        self.loop.run_until(lambda: all(item.over for item in calls))
+        self.loop.run_until(lambda: all(item.finished for item in calls))
         silent.update(upstream.conns)
         second = self.submit(upstream.port, silence_timeout=60.0)
         note = self.submit(upstream.port, "/note", silence_timeout=60.0, fresh=True)
         first = self.submit(upstream.port, silence_timeout=SILENCE)
-        self.loop.run_until(lambda: first.over and second.over)
+        self.loop.run_until(lambda: first.finished and second.finished)
         self.check_failure(first, PathSilent, UNKNOWN)
         self.check_failure(second, PathSilent, UNKNOWN)
-        self.assertFalse(note.over)
-        go_on.set()
-        self.loop.run_until(lambda: note.over)
+        self.assertFalse(note.finished)
+        release.set()
+        self.loop.run_until(lambda: note.finished)
         self.assertEqual(note.body, b"/note")
 
-    def test_a_dead_upstream_is_told_from_a_dead_path(self):
-        # The upstream itself has stopped answering: calls with time left keep it, and
-        # nobody is told that a new connection would do.
+    def test_a_silent_upstream_is_distinguished_from_a_silent_path(self):
+        # The upstream itself has stopped answering. Calls within their own timeout
+        # keep waiting, and the failure doesn't suggest a new connection.
         upstream = self.start(lambda conn, *call: conn.recv(1))
         second = self.submit(upstream.port, silence_timeout=60.0)
         first = self.call(upstream.port, silence_timeout=SILENCE, connect_timeout=0.2)
         self.check_failure(first, UpstreamSilent, UNKNOWN)
-        self.assertFalse(second.over)
+        self.assertFalse(second.finished)
         self.client.cancel(second.exchange)
 
 
@@ -271,8 +276,8 @@
         else:
             self.assertEqual(answer.json()["choices"][0]["text"], text)
 
-    def hit(self, engine, prompt, **options):
-        """Make calls until one of them was tried on this engine."""
+    def call_until_sent_to(self, engine, prompt, **options):
+        """Make calls until one of them was sent to this engine."""
         before = len(engine.record()["attempts"])
 
         def check():
@@ -281,9 +286,10 @@
 
         poll(check, 30)
 
-    def test_answers_are_whole_whatever_an_engine_does(self):
-        # An engine breaks off, garbles, crosses or ends its answers early, or falls
-        # silent. The caller sees one answer without a gap or a repeat.
+    def test_answers_are_complete_despite_engine_faults(self):
+        # An engine breaks off its answer, sends garbage, answers for another attempt,
+        # omits the end or goes silent. The caller must receive one answer without gaps
+        # or repeated tokens.
         faults = (
             ("die_after", 7, None),
             ("garbage", 5, None),
@@ -296,25 +302,25 @@
             for stream in (True, False) if name == "die_after" else (True,):
                 with self.subTest(fault=name, stream=stream):
                     bad.fault(**{name: value})
-                    self.hit(bad, f"{name} {stream} ", stream=stream)
+                    self.call_until_sent_to(bad, f"{name} {stream} ", stream=stream)
                     bad.fault(**{name: off})
 
-    def test_two_engines_in_a_row_may_break_off(self):
+    def test_answers_are_complete_after_two_engines_break_off(self):
         first, second, third = self.start(3)
         for number, engine in enumerate((first, second)):
             engine.fault(die_after=5 + number)
         for number in range(4):
             self.check_whole(f"prompt {number} ")
 
-    def test_an_engine_that_is_gone_ran_nothing(self):
+    def test_requests_to_a_killed_engine_go_to_another(self):
         gone, _ = self.start(2)
         gone.kill()
         for number in range(6):
             self.check_whole(f"prompt {number} ", stream=number % 2 == 0)
 
-    def test_a_silent_path_is_left(self):
-        # The relay loses track of every open connection: neither end hears of it. A
-        # running answer goes on elsewhere or on a new connection.
+    def test_answers_continue_after_a_path_goes_silent(self):
+        # The relay drops the state of all open connections without notice to either
+        # end. Running answers must continue on another engine or a new connection.
         engine, _ = engines = self.start(2)
         to = f"{HOST}:{engine.port}"
         relay = self.deployment.processes.start_fake("relay", "--to", to)
@@ -356,15 +362,15 @@
         return call(self.entry.port, method, f"/services/portal/{path}", body, headers)
 
     def count(self, what, body):
-        """Return how many calls or effects with this body the services saw."""
+        """Return how many calls or effects with this body the services recorded."""
         records = [service.record() for service in self.services]
         return sum(
             item["body"] == body.decode() for record in records for item in record[what]
         )
 
-    def test_a_note_whose_connection_dies_is_never_sent_again(self):
-        # The service dies before or after it books the note; the instance can't tell
-        # which, says so, and sends it to nobody else.
+    def test_a_note_whose_connection_breaks_is_not_sent_again(self):
+        # The service crashes before or after it stores the note. The instance can't
+        # know which, so it must report an unknown outcome and not send the note again.
         for fault, effects in (("die_before_effect", 0), ("die_after_effect", 1)):
             for key in (None, new_key(time.time())):
                 with self.subTest(fault=fault, keyed=bool(key)):
@@ -379,9 +385,9 @@
                     self.assertEqual(self.count("calls", body), 1)
                     self.assertEqual(self.count("effects", body), effects)
 
-    def test_a_silent_service_is_called_silent(self):
-        # The portal says nothing after it has taken a note. The clerk was told that the
-        # upstream failed, while the operators' page sends silence another way.
+    def test_a_silent_service_is_reported_as_silent(self):
+        # The service accepts a note and never answers. The caller was told that the
+        # upstream failed; the operators' page treats silence as a failure of its own.
         deployment = Deployment()
         self.addCleanup(deployment.close)
         deployment.start_upstreams(0, 1)
@@ -401,14 +407,14 @@
             self.assertEqual(answer.status, 200, answer.raw)
             self.assertEqual(self.count("effects", body), 1)
 
-    def test_a_document_is_fetched_again(self):
+    def test_an_idempotent_call_is_retried(self):
         self.services[0].fault(die_before_effect=2)
         for _ in range(6):
             answer = self.send("GET", "document?size=3000")
             self.assertEqual((answer.status, len(answer.body)), (200, 3000))
 
-    def test_a_status_without_a_name_is_passed_on(self):
-        # Statuses without a registered reason broke the answer's writer.
+    def test_a_status_without_a_reason_phrase_is_passed_on(self):
+        # A status without a registered reason phrase broke the encoder of the answer.
         def answer(conn, method, path, body):
             if path == "/-/load":
                 send_load(conn)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Tests of sockets: no file descriptor is left, a path has gone silent."""
+"""Tests of sockets without free file descriptors and of silent network paths."""
 
 import errno
 import socket
@@ -10,20 +10,20 @@
     PATH_TIMEOUT_MS,
     StreamHandlers,
     Streams,
-    watch_path,
+    set_path_timeout,
 )
 
-NO_FILES = OSError(errno.EMFILE, "too many open files")
+NO_DESCRIPTORS = OSError(errno.EMFILE, "too many open files")
 
 
-class Listener:
+class FailingListener:
     """A listening socket whose accept fails."""
 
     def accept(self):
-        raise NO_FILES
+        raise NO_DESCRIPTORS
 
 
-class TestOutOfFiles(unittest.TestCase):
+class TestNoDescriptors(unittest.TestCase):
     def setUp(self):
         self.poller = mock.Mock()
         self.closed = []
@@ -34,35 +34,36 @@
         )
         self.streams = Streams(self.poller, handlers, "test")
 
-    def test_a_listener_without_descriptors_waits_for_the_next_tick(self):
-        # Callers open connections until no descriptor is left. The listener stays
-        # readable, accept fails, and the loop would spin instead of serving those it
-        # has.
-        listener = self.streams._listener = Listener()
+    def test_accept_without_descriptors_pauses_until_the_next_tick(self):
+        # Callers open connections until no file descriptor is free. The listener stays
+        # readable and accept fails, so the loop would spin instead of serving the open
+        # connections.
+        listener = self.streams._listener = FailingListener()
         self.streams.handle_ready(listener, True, False)
         watch = self.poller.watch
         watch.assert_called_with(self.streams, listener, reading=False, writing=False)
         self.streams._on_tick()
         watch.assert_called_with(self.streams, listener, reading=True, writing=False)
 
-    def test_a_dial_without_descriptors_is_a_failed_connection(self):
-        # A request is placed while no descriptor is left. The failure is told as that
-        # of a connection that took no byte; raised, it would leave the caller waiting.
-        with mock.patch("socket.socket", side_effect=NO_FILES):
+    def test_dial_without_descriptors_reports_a_failed_connection(self):
+        # A request is sent while no file descriptor is free. It must be reported as a
+        # failed connection that sent no byte; an exception would leave the caller
+        # waiting.
+        with mock.patch("socket.socket", side_effect=NO_DESCRIPTORS):
             conn = self.streams.dial(Address("127.0.0.1", 1))
         self.streams.send(conn, b"data")
         self.assertEqual((self.closed, conn.sent), ([], 0))
         self.streams._on_tick()
-        self.assertEqual(self.closed, [(conn, NO_FILES)])
+        self.assertEqual(self.closed, [(conn, NO_DESCRIPTORS)])
 
 
 class TestPaths(unittest.TestCase):
-    def test_dialled_connections_end_when_their_path_is_silent(self):
-        # A partition swallows what is sent and resets nothing: without these options
+    def test_dialled_connections_close_when_their_path_is_silent(self):
+        # A network partition drops all packets without a reset. Without these options
         # the call would wait for its caller's whole deadline.
         with socket.socket() as sock:
-            watch_path(sock)
-            get = lambda name: sock.getsockopt(socket.IPPROTO_TCP, name)
-            self.assertEqual(get(socket.TCP_USER_TIMEOUT), PATH_TIMEOUT_MS)
-            self.assertEqual(get(socket.TCP_KEEPIDLE), 1)
+            set_path_timeout(sock)
+            read_option = lambda name: sock.getsockopt(socket.IPPROTO_TCP, name)
+            self.assertEqual(read_option(socket.TCP_USER_TIMEOUT), PATH_TIMEOUT_MS)
+            self.assertEqual(read_option(socket.TCP_KEEPIDLE), 1)
             self.assertTrue(sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE))
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -1,4 +1,4 @@
-"""Callers that err, dawdle, leave or hurry: what each gets on the wire."""
+"""Tests of the HTTP server: malformed, slow, pipelining and disconnecting callers."""
 
 import json
 import random
@@ -31,21 +31,21 @@
     send_load,
 )
 
-COMPLETIONS, CHATS = "/v1/completions", "/v1/chat/completions"
+COMPLETIONS, CHAT_COMPLETIONS = "/v1/completions", "/v1/chat/completions"
 NOTES = "/services/portal/notes"
 BODY_LIMIT = 100_000
-MANY = 150
-# A token takes half a second while this factor is set, and no time without it.
-SLOW = 500
-# Long names make long events, so that the kernel's buffers fill with fewer of them.
+CALLER_COUNT = 150
+# Factor of the engine's time per token: half a second with it, nearly none without.
+SLOWDOWN = 500
+# Long names make long events, which fill the kernel's buffers sooner.
 LONG_NAME = "entry-" + "x" * 58
 LONG_ID = "r" * 64
 AUTHORISATION = f"Authorization: {AUTHORISED['Authorization']}\r\n".encode()
-GOOD = {"model": "memo", "prompt": "hello", "max_tokens": 8}
+COMPLETION = {"model": "memo", "prompt": "hello", "max_tokens": 8}
 CHAT = {"model": "memo", "messages": [{"role": "user", "content": "hello"}]}
-DEEP = b'{"prompt":' + b"[" * 40_000
-WRONG = (None, 7, 1.5, True, "x", [], {}, -1, 10**30)
-RIGHT = {
+DEEPLY_NESTED = b'{"prompt":' + b"[" * 40_000
+BAD_VALUES = (None, 7, 1.5, True, "x", [], {}, -1, 10**30)
+IS_VALID = {
     "model": lambda value: isinstance(value, str),
     "prompt": lambda value: isinstance(value, str),
     "max_tokens": lambda value: type(value) is int and 0 < value < 100,
@@ -53,13 +53,13 @@
 }
 
 
-def head(line, *fields):
+def make_head(line, *fields):
     """Return the bytes of a request head."""
     return "\r\n".join((line, f"Host: {HOST}", *fields, "", "")).encode()
 
 
-def leave(caller, reset):
-    """Close the caller's end, with a reset or as usual."""
+def disconnect(caller, reset):
+    """Close the caller's connection, with a reset or an orderly close."""
     if reset:
         linger = struct.pack("ii", 1, 0)
         caller.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -67,7 +67,7 @@
 
 
 def drop_field(value, name):
-    """Return the value without one field."""
+    """Return the dict without one field."""
     return {key: item for key, item in value.items() if key != name}
 
 
@@ -95,11 +95,11 @@
         self.assertTrue(answer.whole)
 
     @contextmanager
-    def witness(self):
-        """Check that another caller's stream goes on whole meanwhile."""
-        self.engine.fault(slow=SLOW)
+    def check_other_stream(self):
+        """Check that another caller's stream continues meanwhile and is complete."""
+        self.engine.fault(slow=SLOWDOWN)
         with Caller(self.port) as caller:
-            caller.request("POST", COMPLETIONS, ask(2000), AUTHORISED)
+            caller.request("POST", COMPLETIONS, make_completion(2000), AUTHORISED)
             caller.read_until(b"data: ")
             yield
             self.assertEqual(self.find_attempt("running")["max_tokens"], 2000)
@@ -123,35 +123,36 @@
         return poll(check)
 
 
-def ask(count=8, stream=True, prompt="hello"):
+def make_completion(count=8, stream=True, prompt="hello"):
     """Return the body of a model call."""
-    return GOOD | {"max_tokens": count, "stream": stream, "prompt": prompt}
+    return COMPLETION | {"max_tokens": count, "stream": stream, "prompt": prompt}
 
 
 class TestBadInput(WebCase):
-    def test_malformed_http_is_answered_and_disturbs_nobody(self):
+    def test_malformed_http_is_answered_and_affects_no_other_caller(self):
         rows = (
             (b"\x16\x03\x01\0\xff\r\n\r\n", exc.BadRequest),
-            (head("GET / HTTP/2.0"), exc.BadRequest),
-            (head("GET / HTTP/1.1", "A : b"), exc.BadRequest),
-            (head("GET / HTTP/1.1", "Content-Length: 1", "Content-Length: 2")[:-1]
+            (make_head("GET / HTTP/2.0"), exc.BadRequest),
+            (make_head("GET / HTTP/1.1", "A : b"), exc.BadRequest),
+            (make_head("GET / HTTP/1.1", "Content-Length: 1", "Content-Length: 2")[:-1]
              + b"\nx", exc.BadRequest),
-            (head("POST / HTTP/1.1", "Transfer-Encoding: chunked"), exc.LengthRequired),
-            (head("GET / HTTP/1.1", "A: " + "b" * 20_000), exc.TooLarge),
-            (head("GET /nowhere HTTP/1.1"), exc.NotFound),
-            (head("BREW /v1/models HTTP/1.1"), exc.NotFound),
+            (make_head("POST / HTTP/1.1", "Transfer-Encoding: chunked"),
+             exc.LengthRequired),
+            (make_head("GET / HTTP/1.1", "A: " + "b" * 20_000), exc.TooLarge),
+            (make_head("GET /nowhere HTTP/1.1"), exc.NotFound),
+            (make_head("BREW /v1/models HTTP/1.1"), exc.NotFound),
         )  # fmt: skip
-        with self.witness():
+        with self.check_other_stream():
             for data, kind in rows:
                 with self.subTest(data=data[:40]):
                     self.check_problem(self.send(data), kind)
 
-    def test_a_caller_that_sends_too_much_reads_why(self):
-        # A clerk uploads a file over the limit. The instance answers and closes while
-        # bytes of the file are unread; the reset that this makes destroys the answer,
-        # and the clerk sees a broken connection.
+    def test_a_caller_that_sends_too_much_receives_the_error(self):
+        # A caller uploads a file over the size limit. If the instance answered and
+        # closed with part of the file unread, the resulting reset would discard the
+        # answer, and the caller would see a broken connection.
         size = 4_000_000
-        data = head("POST /v1/completions HTTP/1.1", f"Content-Length: {size}")
+        data = make_head("POST /v1/completions HTTP/1.1", f"Content-Length: {size}")
         for _ in range(5):
             with Caller(self.port) as caller:
                 caller.send(data)
@@ -161,22 +162,28 @@
                     self.fail("the connection broke before the answer was read")
                 self.check_problem(caller.read_answer(), exc.TooLarge)
 
-    def test_wrong_json_is_answered_by_its_type(self):
-        bodies = [b"", b"{", b"[]", b"null", b"\xff\xfe", DEEP]
+    def test_invalid_json_is_answered_with_bad_request(self):
+        bodies = [b"", b"{", b"[]", b"null", b"\xff\xfe", DEEPLY_NESTED]
         bodies += [b'{"model":"memo","prompt":"\\ud800"}']
-        for name, right in RIGHT.items():
-            values = [value for value in WRONG if not right(value)]
-            bodies += [json.dumps(GOOD | {name: value}).encode() for value in values]
-        bodies += [json.dumps(drop_field(GOOD, name)).encode() for name in GOOD][:2]
-        chats = [json.dumps(CHAT | {"messages": value}).encode() for value in WRONG]
+        for name, is_valid in IS_VALID.items():
+            values = [value for value in BAD_VALUES if not is_valid(value)]
+            bodies += [
+                json.dumps(COMPLETION | {name: value}).encode() for value in values
+            ]
+        bodies += [
+            json.dumps(drop_field(COMPLETION, name)).encode() for name in COMPLETION
+        ][:2]
+        chats = [
+            json.dumps(CHAT | {"messages": value}).encode() for value in BAD_VALUES
+        ]
         for field in ("role", "content"):
             message = CHAT["messages"][0]
             rows = [message | {field: value} for value in (None, 7, [], "\ud800")]
             rows += [drop_field(message, field)]
             chats += [json.dumps(CHAT | {"messages": [row]}).encode() for row in rows]
-        with self.witness(), Caller(self.port) as caller:
+        with self.check_other_stream(), Caller(self.port) as caller:
             for path, body in [(COMPLETIONS, b) for b in bodies] + [
-                (CHATS, b) for b in chats
+                (CHAT_COMPLETIONS, b) for b in chats
             ]:
                 with self.subTest(path=path, body=body[:80]):
                     answer = caller.call("POST", path, body, AUTHORISED)
@@ -187,12 +194,12 @@
         bad_id = AUTHORISED | {"X-Request-Id": "a b"}
         bad_key = AUTHORISED | {"Idempotency-Key": "7"}
         rows = (
-            (COMPLETIONS, GOOD | {"model": "nobody"}, AUTHORISED, exc.NotFound),
-            (COMPLETIONS, GOOD | {"model": "\ud800"}, AUTHORISED, exc.BadRequest),
+            (COMPLETIONS, COMPLETION | {"model": "nobody"}, AUTHORISED, exc.NotFound),
+            (COMPLETIONS, COMPLETION | {"model": "\ud800"}, AUTHORISED, exc.BadRequest),
             ("/services/nobody/x", {}, AUTHORISED, exc.NotFound),
-            (COMPLETIONS, GOOD, {}, exc.UnknownCustomer),
-            (COMPLETIONS, GOOD, key, exc.UnknownCustomer),
-            (COMPLETIONS, GOOD, bad_id, exc.BadRequest),
+            (COMPLETIONS, COMPLETION, {}, exc.UnknownCustomer),
+            (COMPLETIONS, COMPLETION, key, exc.UnknownCustomer),
+            (COMPLETIONS, COMPLETION, bad_id, exc.BadRequest),
             (NOTES, {}, bad_id, exc.BadRequest),
             (NOTES, {}, bad_key, exc.BadKey),
             ("/-/drain", b"{", {}, exc.BadRequest),
@@ -204,57 +211,62 @@
                 self.check_problem(answer, kind)
         self.assertEqual(len(self.service.record()["calls"]), calls)
 
-    def test_a_slow_sender_is_cut_off_with_its_reason(self):
-        starts = (b"G", head("POST /x HTTP/1.1", "Content-Length: 9") + b"x")
-        with self.witness():
+    def test_a_slow_sender_is_answered_and_disconnected(self):
+        starts = (b"G", make_head("POST /x HTTP/1.1", "Content-Length: 9") + b"x")
+        with self.check_other_stream():
             for data in starts:
                 answer = self.send(data)
                 self.check_problem(answer, exc.SlowSender)
 
-    def test_random_bytes_never_harm_the_instance(self):
+    def test_random_bytes_are_answered_with_client_errors(self):
         rng = random.Random(7)
-        with self.witness():
-            for _ in range(MANY):
+        with self.check_other_stream():
+            for _ in range(CALLER_COUNT):
                 with Caller(self.port) as caller:
                     caller.send(rng.randbytes(rng.randrange(1, 300)) + b"\r\n\r\n")
                     self.assertIn(caller.read_answer().status, (400, 411, 413))
 
 
-class TestLeavers(WebCase):
-    def test_a_caller_that_leaves_frees_the_engine(self):
-        # A broker closes the page while the memo is being written. Without a cancel
-        # the engine would go on for nobody. The answer may not have begun (no stream).
+class TestDisconnects(WebCase):
+    def test_a_disconnect_cancels_the_engine(self):
+        # A caller disconnects while its answer is being generated. Without a cancel the
+        # engine would continue for nobody. Without streaming, no part of the answer has
+        # been sent yet.
         for stream in (True, False):
             for reset in (True, False):
                 with self.subTest(stream=stream, reset=reset):
-                    self.engine.fault(slow=SLOW)
+                    self.engine.fault(slow=SLOWDOWN)
                     caller = Caller(self.port)
-                    body = ask(30_000, stream, f"leaving {stream} {reset} ")
+                    body = make_completion(30_000, stream, f"leaving {stream} {reset} ")
                     caller.request("POST", COMPLETIONS, body, AUTHORISED)
                     if stream:
                         caller.read_until(b"data: ")
                     self.find_attempt("running")
-                    leave(caller, reset)
+                    disconnect(caller, reset)
                     self.find_attempt("cancelled")
         poll(lambda: self.entry.get("/-/status")[1]["in_flight"] == 0)
 
-    def test_a_pipelining_caller_that_leaves_frees_the_engine(self):
-        # The second request waits in the buffer and the connection isn't read, so the
-        # instance doesn't see the end of it.
+    def test_a_disconnect_of_a_pipelining_caller_cancels_the_engine(self):
+        # While the second request is buffered, the connection isn't read, so that the
+        # instance would not notice its end.
         caller = Caller(self.port)
-        self.engine.fault(slow=SLOW)
-        caller.request("POST", COMPLETIONS, ask(30_000, False, "two "), AUTHORISED)
+        self.engine.fault(slow=SLOWDOWN)
+        caller.request(
+            "POST", COMPLETIONS, make_completion(30_000, False, "two "), AUTHORISED
+        )
         caller.request("GET", "/-/live")
         self.find_attempt("running")
-        leave(caller, reset=True)
+        disconnect(caller, reset=True)
         self.find_attempt("cancelled")
 
-    def test_a_caller_that_only_closed_its_half_gets_the_whole_answer(self):
-        # `printf ... | nc` sends the request, closes its half and waits. To the
-        # instance this looks like a caller that has left.
+    def test_a_half_closed_caller_receives_the_whole_answer(self):
+        # `printf ... | nc` sends the request, closes its sending half and waits. To the
+        # instance this looks like a disconnected caller.
         for stream in (True, False):
             with Caller(self.port) as caller:
-                caller.request("POST", COMPLETIONS, ask(500, stream), AUTHORISED)
+                caller.request(
+                    "POST", COMPLETIONS, make_completion(500, stream), AUTHORISED
+                )
                 caller.sock.shutdown(socket.SHUT_WR)
                 answer = caller.read_answer()
                 while answer.status == 100:
@@ -274,13 +286,13 @@
         self.addCleanup(self.deployment.close)
         self.deployment.start_upstreams(1, 1, ("--token-time", "0.001"))
 
-    def test_a_planned_stop_cuts_no_request_that_has_come_in_part(self):
-        # A clerk's upload is half there when the instance is told to stop. It ends
-        # with its answer; the idle connection beside it ends at once.
+    def test_a_planned_stop_completes_a_partly_received_request(self):
+        # An upload is half received when the instance is told to stop. The upload must
+        # be completed and answered; the idle connection must close at once.
         entry = self.deployment.start_entry("one")
         with Caller(entry.port) as caller, Caller(entry.port) as idle:
             idle.call("GET", "/-/live")
-            first = head("POST " + NOTES + " HTTP/1.1", "Content-Length: 8")
+            first = make_head("POST " + NOTES + " HTTP/1.1", "Content-Length: 8")
             caller.send(first[:-2] + AUTHORISATION + b"\r\nhalf")
             call(entry.port, "GET", "/-/live", headers={"Connection": "close"})
             entry.signal(signal.SIGTERM)
@@ -294,9 +306,9 @@
 
 
 class TestReadiness(unittest.TestCase):
-    def test_questions_of_the_balancer_are_no_refused_requests(self):
-        # An instance starts without a configuration; each question of the balancer
-        # meanwhile showed up in the operators' figures as a customer's refused request.
+    def test_readiness_checks_are_not_counted_as_refused_requests(self):
+        # While an instance had no configuration yet, each readiness check of the load
+        # balancer was counted in the metrics as a customer's refused request.
         deployment = Deployment()
         self.addCleanup(deployment.close)
         entry = deployment.start_entry("one", ready=False)
@@ -310,7 +322,7 @@
 
 class TestWeb(unittest.TestCase):
     def start(self, requested, **changes):
-        """Serve callers within this test's own process."""
+        """Serve callers in the process of the test."""
         cfg = read_settings(["--embedded"], {}).unwrap()._replace(**changes)
         self.loop = Loop()
         handlers = WebHandlers(requested, lambda exchange: None)
@@ -318,9 +330,10 @@
         self.addCleanup(web.stop_listening)
         return web, web.listen((HOST, 0)).port
 
-    def test_connections_that_nothing_moves_on_are_closed(self):
-        # Idle callers, and callers that stop reading an answer that is complete, each
-        # hold a socket and a buffer. Who reads slowly but reads is served to the end.
+    def test_idle_and_stalled_connections_are_closed(self):
+        # Idle callers, and callers that stop reading a complete answer, each hold a
+        # socket and a buffer. A caller that reads slowly must still be served to the
+        # end.
         document = b"x" * 8_000_000
         web, port = self.start(lambda ex: ex.answer(200, document), idle_timeout=2.0)
         with ExitStack() as stack:
@@ -352,9 +365,9 @@
                     stalled.fill()
         self.loop.run_until(lambda: web.count() == 0)
 
-    def test_answers_that_nobody_reads_stop_the_requests(self):
-        # A caller pipelines without end and reads nothing: neither its requests nor
-        # the answers may pile up.
+    def test_requests_are_not_read_while_answers_are_unread(self):
+        # A caller pipelines requests without limit and reads nothing. Neither its
+        # requests nor the answers may accumulate.
         page, served = b"x" * 10_000, []
 
         def requested(exchange):
@@ -364,7 +377,7 @@
         web, port = self.start(requested)
         with Caller(port) as caller:
             caller.sock.setblocking(False)
-            data = memoryview(head("GET / HTTP/1.1") * 200_000)
+            data = memoryview(make_head("GET / HTTP/1.1") * 200_000)
             counts = []
 
             def push():
@@ -382,9 +395,9 @@
 
 class TestSlowReader(unittest.TestCase):
     def test_a_slow_reader_slows_the_engine_down(self):
-        # A phone stops reading. Nobody may keep the rest of its answer in memory: the
-        # instance stops reading from the engine, and the engine stops writing. The
-        # other callers go on.
+        # A caller stops reading. The rest of its answer must not be buffered: the
+        # instance stops reading from the engine, and the engine stops writing. Other
+        # callers must not be affected.
         engine = RawUpstream(lambda *call: write_answer(engine, *call))
         self.addCleanup(engine.close)
         deployment = Deployment()
@@ -394,16 +407,18 @@
         entry = deployment.start_entry(LONG_NAME)
         count, seen = 30_000, []
 
-        def stalled():
+        def has_stalled():
             seen.append(engine.sent)
             return len(seen) > 100 and len(set(seen[-50:])) == 1
 
         with Caller(entry.port) as caller:
             headers = AUTHORISED | {"X-Request-Id": LONG_ID}
-            caller.request("POST", COMPLETIONS, ask(count, True, "slow "), headers)
+            caller.request(
+                "POST", COMPLETIONS, make_completion(count, True, "slow "), headers
+            )
             caller.read_until(b"data: ")
-            poll(stalled, 60)
-            # The kernel's buffers on the way and the instance's own, but not 5 MB.
+            poll(has_stalled, 60)
+            # This covers the buffers of the kernel and the instance, but not 5 MB.
             self.assertLess(seen[-1], 2_000_000)
             other = complete(entry, stream=True)
             self.assertTrue(read_stream(other)[1], other.raw)
@@ -415,7 +430,7 @@
 
 
 def write_answer(engine, conn, method, path, body):
-    """Answer a completion as an engine does, as fast as it is read."""
+    """Answer a completion request like an engine, as fast as it is read."""
     if path != COMPLETIONS:
         send_load(conn)
         return
@@ -431,12 +446,12 @@
     conn.sendall(make_chunk(event) + make_chunk("[DONE]") + CHUNKED_END)
 
 
-class TestConversation(WebCase):
-    def test_a_connection_serves_one_request_after_another(self):
+class TestConnections(WebCase):
+    def test_a_connection_serves_several_requests(self):
         with Caller(self.port) as caller:
             for count in (1, 5, 3):
                 for stream in (True, False):
-                    body = ask(count, stream)
+                    body = make_completion(count, stream)
                     answer = caller.call("POST", COMPLETIONS, body, AUTHORISED)
                     self.assertTrue(answer.whole)
                     self.assertEqual(answer.headers["connection"], "keep-alive")
@@ -445,15 +460,15 @@
             with self.assertRaises(EOFError):
                 caller.fill()
 
-    def test_pipelined_requests_are_answered_in_their_order(self):
-        # Hundreds of requests in one packet once ran each inside the one before it.
-        with self.witness(), Caller(self.port) as caller:
-            caller.send(head("GET /-/live HTTP/1.1") * 600)
+    def test_pipelined_requests_are_answered_in_order(self):
+        # Hundreds of requests in one packet were once served recursively.
+        with self.check_other_stream(), Caller(self.port) as caller:
+            caller.send(make_head("GET /-/live HTTP/1.1") * 600)
             for _ in range(600):
                 self.assertEqual(caller.read_answer().json(), {"live": True})
         with Caller(self.port) as caller:
             for count in range(1, 20):
-                body = ask(count, count % 2 == 0)
+                body = make_completion(count, count % 2 == 0)
                 caller.request("POST", COMPLETIONS, body, AUTHORISED)
             for count in range(1, 20):
                 answer = caller.read_answer()
@@ -463,45 +478,45 @@
                     usage = answer.json()["usage"]
                     self.assertEqual(usage["completion_tokens"], count)
 
-    def test_garbage_behind_a_request_does_not_cut_its_answer(self):
+    def test_garbage_after_a_request_does_not_truncate_its_answer(self):
         with Caller(self.port) as caller:
-            caller.request("POST", COMPLETIONS, ask(300), AUTHORISED)
+            caller.request("POST", COMPLETIONS, make_completion(300), AUTHORISED)
             caller.send(b"\0garbage\r\n\r\n" + b"x" * 2 * BODY_LIMIT)
             text = "".join(expected_tokens("memo", "hello", 300))
             self.assertEqual(read_stream(caller.read_answer()), (text, True))
             self.check_problem(caller.read_answer(), exc.BadRequest)
 
-    def test_nothing_runs_behind_the_last_request(self):
-        # "Connection: close" ends the conversation; a note sent behind it would be
-        # booked and its answer thrown away.
+    def test_requests_after_connection_close_are_not_run(self):
+        # "Connection: close" ends the connection; a note sent after it would be stored
+        # and its answer discarded.
         with Caller(self.port) as caller:
-            note = head("POST " + NOTES + " HTTP/1.1", "Content-Length: 4")
+            note = make_head("POST " + NOTES + " HTTP/1.1", "Content-Length: 4")
             note = note[:-2] + AUTHORISATION + b"\r\nlost"
-            caller.send(head("GET /-/live HTTP/1.1", "Connection: close") + note)
+            caller.send(make_head("GET /-/live HTTP/1.1", "Connection: close") + note)
             self.assertEqual(caller.read_answer().status, 200)
             with self.assertRaises(EOFError):
                 caller.fill()
         self.assertNotIn("lost", self.service.record()["by_body"])
 
-    def test_a_stream_comes_chunk_by_chunk(self):
-        self.engine.fault(slow=SLOW)
+    def test_a_stream_is_sent_chunk_by_chunk(self):
+        self.engine.fault(slow=SLOWDOWN)
         with Caller(self.port) as caller:
-            caller.request("POST", COMPLETIONS, ask(2000), AUTHORISED)
+            caller.request("POST", COMPLETIONS, make_completion(2000), AUTHORISED)
             status, headers = caller.read_head()
             self.assertEqual((status, headers["transfer-encoding"]), (200, "chunked"))
             self.assertNotIn("content-length", headers)
             self.assertTrue(caller.read_chunk().endswith(b"\n\n"))
-            # The engine is still writing: the chunk wasn't kept until the end.
+            # The engine is still writing, so the chunk was passed on at once.
             self.assertLess(self.find_attempt("running")["sent"], 2000)
             self.engine.fault(slow=0)
             while caller.read_chunk():
                 pass
             self.assertEqual(caller.buffer, b"")
 
-    def test_an_old_caller_gets_a_stream_without_chunks(self):
-        data = json.dumps(ask(5)).encode()
+    def test_an_http_1_0_caller_receives_a_stream_without_chunks(self):
+        data = json.dumps(make_completion(5)).encode()
         line = f"POST {COMPLETIONS} HTTP/1.0"
-        first = head(line, f"Content-Length: {len(data)}")[:-2]
+        first = make_head(line, f"Content-Length: {len(data)}")[:-2]
         with Caller(self.port) as caller:
             caller.send(first + AUTHORISATION + b"\r\n" + data)
             status, headers = caller.read_head()
@@ -512,7 +527,7 @@
             self.assertTrue(caller.buffer.startswith(b"id: "))
             self.assertTrue(caller.buffer.endswith(b"data: [DONE]\n\n"))
 
-    def test_head_is_get_without_its_body(self):
+    def test_head_is_answered_like_get_without_a_body(self):
         with Caller(self.port) as caller:
             for path in ("/-/live", "/services/portal/doc?size=5000"):
                 full = caller.call("GET", path, headers=AUTHORISED)
@@ -522,10 +537,10 @@
                 expected = full.headers["content-length"]
                 self.assertEqual(headers.get("content-length"), expected)
 
-    def test_a_body_is_asked_for_when_its_sender_waits(self):
+    def test_a_sender_that_waits_receives_100_continue(self):
         body = b"x" * 5000
         expect = ("Content-Length: 5000", "Expect: 100-continue")
-        first = head("POST " + NOTES + " HTTP/1.1", *expect)[:-2] + AUTHORISATION
+        first = make_head("POST " + NOTES + " HTTP/1.1", *expect)[:-2] + AUTHORISATION
         with Caller(self.port) as caller:
             caller.send(first + b"\r\n")
             self.assertEqual(caller.read_head(), (100, {}))
@@ -542,14 +557,17 @@
         answer = call(self.port, "GET", "/services/portal/x?size=77", b"", AUTHORISED)
         self.assertEqual(len(answer.body), 77)
 
-    def test_many_callers_get_their_own_answer_or_a_refusal_at_once(self):
-        # More than the customer's queue holds: the surplus is told at once to come back
-        # later, and everybody else gets the whole answer to the own request.
-        self.engine.fault(slow=SLOW)
+    def test_each_caller_receives_its_own_answer_or_an_immediate_refusal(self):
+        # There are more requests than the customer's queue holds. The surplus must be
+        # refused at once with a retry time; every other caller must receive the whole
+        # answer to its own request.
+        self.engine.fault(slow=SLOWDOWN)
         with ExitStack() as stack:
-            callers = [stack.enter_context(Caller(self.port)) for _ in range(MANY)]
+            callers = [
+                stack.enter_context(Caller(self.port)) for _ in range(CALLER_COUNT)
+            ]
             for number, caller in enumerate(callers):
-                body = ask(20, False, f"caller {number} ")
+                body = make_completion(20, False, f"caller {number} ")
                 caller.request("POST", COMPLETIONS, body, AUTHORISED)
             socks = [caller.sock for caller in callers]
             poll(lambda: select.select(socks, (), (), 0)[0])
@@ -557,7 +575,7 @@
             answers = [caller.read_answer() for caller in callers]
         refused = [answer for answer in answers if answer.status != 200]
         self.assertGreater(len(refused), 0)
-        self.assertLess(len(refused), MANY)
+        self.assertLess(len(refused), CALLER_COUNT)
         for answer in refused:
             self.check_problem(answer, exc.CustomerLimit)
             self.assertGreaterEqual(int(answer.headers["retry-after"]), 1)
