--- a/src/chervilwing/logs.py
+++ b/src/chervilwing/logs.py
@@ -1,8 +1,8 @@
-"""Structured log lines: JSON or text, one for each finished request.
+"""Structured log lines in JSON or text, one for each finished request.
 
-No line holds a prompt, a key or a body: a request's line has the fields of RequestLine
-and no others, and a failure's line has the type and the places, never the message of an
-exception that we didn't write.
+No line contains a prompt, a key or a body. A request's line has the fields of
+RequestLine only. A failure's line has the type and the traceback's locations, but the
+message only for a ChervilwingError, as others may quote their input.
 """
 
 import json
@@ -15,17 +15,17 @@
 
 from .exceptions import ChervilwingError
 
-# Load: tens of thousands of refusals a second. Harm: a line costs 60 us of processor
-# time, and what is spent on lines is missing for answers. A node's usual requests are
-# 34 a second at the design size.
+# Rate limit of request lines. A line takes 60 us of processor time, so that tens of
+# thousands of refusals a second would delay the answers. A node is designed for 34
+# requests a second.
 LINES_PER_SECOND = 300.0
-LINES_AT_ONCE = 600.0
-FRAMES_MAX = 12
-VALUE_MAX = 256
+LINE_BURST = 600.0
+MAX_FRAMES = 12
+MAX_VALUE_LENGTH = 256
 
 
 class RequestLine(NamedTuple):
-    """What is logged of one finished request; times in seconds."""
+    """The log fields of one finished request; times are in seconds."""
 
     request: str
     customer: str
@@ -41,9 +41,10 @@
 
 
 def set_up_logs(cfg, sink):
-    """Send all log lines to one sink, in the form and from the level of the settings.
+    """Write all log lines to one sink, in the configured format and from that level.
 
-    ``diagnose`` stays off: it would print the values of variables, prompts among them.
+    ``diagnose`` stays off, as it would print the values of variables, such as prompts.
+    Return loguru's id of the sink.
     """
     render = RENDERERS[cfg.log_format]
 
@@ -62,87 +63,88 @@
     )
 
 
-class _Bound:
-    """How many request lines may still be written, and how many were left out."""
+class _RateLimit:
+    """Token bucket for request lines, and the number of lines dropped."""
 
-    level = float(LINES_AT_ONCE)
-    at = 0.0
+    tokens = float(LINE_BURST)
+    updated_at = 0.0
     dropped = 0
 
 
 def count_dropped():
-    """Return how many lines were left out so far."""
-    return _Bound.dropped
+    """Return the number of lines dropped since the start."""
+    return _RateLimit.dropped
 
 
-def _may_write(now):
-    gained = (now - _Bound.at) * LINES_PER_SECOND
-    _Bound.level = min(LINES_AT_ONCE, _Bound.level + gained)
-    _Bound.at = now
-    if _Bound.level < 1:
-        _Bound.dropped += 1
+def _is_allowed(now):
+    gained = (now - _RateLimit.updated_at) * LINES_PER_SECOND
+    _RateLimit.tokens = min(LINE_BURST, _RateLimit.tokens + gained)
+    _RateLimit.updated_at = now
+    if _RateLimit.tokens < 1:
+        _RateLimit.dropped += 1
         return False
-    _Bound.level -= 1
+    _RateLimit.tokens -= 1
     return True
 
 
 class NonBlockingSink:
-    """Write lines to a descriptor that may be full, and never wait for its reader.
+    """Write lines to a file descriptor without ever blocking on its reader.
 
-    Guard: whoever reads the log stalls; a pipe holds 64 KB, and the next line would
+    A pipe buffers 64 KB. If the reader of the log stalls, the next blocking write would
     stop every request of the process.
     """
 
     def __init__(self, fileno):
         self._fileno = fileno
-        self._rest = b""
+        self._unwritten = b""
         os.set_blocking(fileno, False)
 
     def write(self, message):
-        """Write one line whole, or leave it out."""
+        """Write one whole line, or drop it if the last one is still unwritten."""
         if not self._flush():
-            _Bound.dropped += 1
+            _RateLimit.dropped += 1
             return
-        self._rest = message.encode()
+        self._unwritten = message.encode()
         self._flush()
 
     def _flush(self):
-        while self._rest:
+        while self._unwritten:
             try:
-                written = os.write(self._fileno, self._rest)
+                written = os.write(self._fileno, self._unwritten)
             except BlockingIOError:
                 return False
             except OSError:
-                # The reader is gone for good; there is nobody to tell.
-                self._rest = b""
+                # The reader has closed its end, so no line can be written any more.
+                self._unwritten = b""
                 return True
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
         return True
 
 
 def log_request(line):
-    """Write the one line of a finished request, unless there are too many."""
-    if not _may_write(time.monotonic()):
+    """Write the line of a finished request, subject to the rate limit."""
+    if not _is_allowed(time.monotonic()):
         return
     logger.bind(**line._asdict()).info("request")
 
 
 def log_event(message, **fields):
-    """Write a line about the instance itself, with a fixed message and plain fields."""
+    """Write a line about the instance, with a constant message and plain fields."""
     logger.bind(**fields).info(message)
 
 
-def log_failure(doing, exc, **fields):
-    """Write a line about a failure: what was being done, its type and its places."""
-    logger.bind(**fields, **describe_failure(exc)).error(doing)
+def log_failure(action, exc, **fields):
+    """Write a line about a failure of ``action``: its type and its locations."""
+    logger.bind(**fields, **describe_failure(exc)).error(action)
 
 
 def describe_failure(exc):
-    """Return a failure's type and places; its text only if the type is our own.
+    """Return the log fields of a failure: its type and the traceback's locations.
 
-    Messages of other libraries can quote their input, a caller's body for example.
+    The message is included only for a ChervilwingError, as those of other libraries can
+    quote their input, such as a caller's body.
     """
-    frames = traceback.extract_tb(exc.__traceback__)[-FRAMES_MAX:]
+    frames = traceback.extract_tb(exc.__traceback__)[-MAX_FRAMES:]
     places = [f"{frame.filename}:{frame.lineno} {frame.name}" for frame in frames]
     fields = {"error": type(exc).__name__, "places": places}
     if isinstance(exc, ChervilwingError):
@@ -154,18 +156,18 @@
     fields = dict(record["extra"])
     if record["exception"] is not None and record["exception"].value is not None:
         fields.update(describe_failure(record["exception"].value))
-    return {name: _clip(value) for name, value in fields.items()}
+    return {name: _truncate(value) for name, value in fields.items()}
 
 
-def _clip(value):
-    """Return a value that is safe in a line: a caller may send a huge request id."""
+def _truncate(value):
+    """Return a value of bounded length, as a caller may send a huge request id."""
     if isinstance(value, str):
-        return value[:VALUE_MAX]
+        return value[:MAX_VALUE_LENGTH]
     if value is None or isinstance(value, (bool, int, float)):
         return value
     if isinstance(value, (list, tuple)):
-        return [_clip(item) for item in value]
-    return str(value)[:VALUE_MAX]
+        return [_truncate(item) for item in value]
+    return str(value)[:MAX_VALUE_LENGTH]
 
 
 def _render_json(record):
@@ -180,7 +182,7 @@
 def _render_text(record):
     at = record["time"].strftime("%Y-%m-%d %H:%M:%S.%f")[:-3]
     level = record["level"].name.lower()
-    # JSON quoting keeps a line break in a caller's request id from forging a line.
+    # JSON quoting prevents a line break in a caller's request id from forging a line.
     fields = (f"{name}={json.dumps(v)}" for name, v in _read_fields(record).items())
     return " ".join([at, level, json.dumps(record["message"])[1:-1], *fields])
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the log lines: their forms, and what must never be in them."""
+"""Tests of the log lines: their formats, limits and what they must not contain."""
 
 import io
 import json
@@ -20,12 +20,12 @@
 from chervilwing.settings import read_settings
 
 SECRET = "driver 4711 lost his licence"
-LINE = RequestLine("r-1", "c", "memo", "e1", 2, 101, 7, "ran", seconds=5.8)
+REQUEST_LINE = RequestLine("r-1", "c", "memo", "e1", 2, 101, 7, "ran", seconds=5.8)
 
 
 class TestLogs(unittest.TestCase):
     def collect(self, log_format, write):
-        """Return the lines that a function writes."""
+        """Return the lines logged while ``write`` runs."""
         cfg = read_settings(["--embedded", "--log-format", log_format], {}).unwrap()
         sink = io.StringIO()
         set_up_logs(cfg, sink)
@@ -33,21 +33,21 @@
         write()
         return sink.getvalue().splitlines()
 
-    def test_json_line_has_every_field_of_a_request(self):
-        (text,) = self.collect("json", lambda: log_request(LINE))
+    def test_json_line_contains_every_field_of_a_request(self):
+        (text,) = self.collect("json", lambda: log_request(REQUEST_LINE))
         fields = json.loads(text)
-        for name, value in LINE._asdict().items():
+        for name, value in REQUEST_LINE._asdict().items():
             self.assertEqual(fields.pop(name), value)
         self.assertEqual(sorted(fields), ["at", "level", "message"])
 
     def test_text_line(self):
-        (text,) = self.collect("text", lambda: log_request(LINE))
+        (text,) = self.collect("text", lambda: log_request(REQUEST_LINE))
         self.assertIn('info request request="r-1" customer="c"', text)
 
     def test_no_line_holds_a_prompt_a_key_or_a_body(self):
-        # An underwriter's prompt makes a parser fail; the parser's message quotes it.
-        # With loguru's defaults the traceback would print the message and the variables
-        # of each frame, and the loss history would stand in the logs of a third party.
+        # A parser fails on a prompt, and its message quotes the prompt. With loguru's
+        # defaults the traceback would include the message and the variables of each
+        # frame, so that confidential data would reach a third party's logs.
         def fail():
             prompt = SECRET
             try:
@@ -66,19 +66,19 @@
                     self.assertIn("ValueError", text)
                     self.assertIn("test_logs.py", text)
 
-    def test_our_own_failures_keep_their_text(self):
+    def test_messages_of_own_exceptions_are_logged(self):
         (text,) = self.collect(
             "json", lambda: log_failure("admit", PoolFull("memo full"))
         )
         self.assertEqual(json.loads(text)["detail"], "memo full")
 
-    def test_a_request_id_forges_no_line_and_is_clipped(self):
-        line = LINE._replace(request="x\n{braces} <red>" + "y" * 9000)
+    def test_a_request_id_is_escaped_and_truncated(self):
+        line = REQUEST_LINE._replace(request="x\n{braces} <red>" + "y" * 9000)
         for log_format in ("json", "text"):
             (text,) = self.collect(log_format, lambda: log_request(line))
             self.assertLess(len(text), 1000)
 
-    def test_event_and_level(self):
+    def test_event_fields_are_logged_and_lower_levels_are_not(self):
         def write():
             log_event("started", port=8080)
             logger.debug("hidden")
@@ -87,10 +87,10 @@
         self.assertEqual(json.loads(text)["port"], 8080)
 
 
-class TestVolume(unittest.TestCase):
-    def test_a_reader_that_stalls_holds_nobody_up(self):
-        # The collector of the logs stops reading: the pipe is full, and the next line
-        # would stop every request of the process.
+class TestLimits(unittest.TestCase):
+    def test_a_stalled_reader_does_not_block_the_writer(self):
+        # The log collector stops reading and the pipe fills up. A blocking write of the
+        # next line would stop every request of the process.
         reading, writing = os.pipe()
         self.addCleanup(os.close, reading)
         self.addCleanup(os.close, writing)
@@ -107,14 +107,14 @@
         self.assertEqual({len(line) for line in lines[:-2]}, {1000})
         self.assertEqual(lines[-2], b"whole again")
 
-    def test_refusals_beyond_the_bound_leave_no_line(self):
+    def test_request_lines_beyond_the_rate_limit_are_dropped(self):
         sink = io.StringIO()
         cfg = read_settings(["--embedded"], {}).unwrap()
         set_up_logs(cfg, sink)
         self.addCleanup(logger.remove)
         before = count_dropped()
         for _ in range(2000):
-            log_request(LINE)
+            log_request(REQUEST_LINE)
         written = len(sink.getvalue().splitlines())
         self.assertEqual(written + count_dropped() - before, 2000)
         self.assertLess(written, 1500)
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -525,8 +525,8 @@
     ),
     Weakness(
         "a log's reader is waited for",
-        (Edit("logs", "_Bound.dropped += 1\n            return\n", "pass\n"),),
-        ("tests.test_logs.TestVolume.test_a_reader_that_stalls_holds_nobody_up",),
+        (Edit("logs", "_RateLimit.dropped += 1\n            return\n", "pass\n"),),
+        ("tests.test_logs.TestLimits.test_a_stalled_reader_does_not_block_the_writer",),
     ),
 )
 
