--- a/src/chervilwing/reports.py
+++ b/src/chervilwing/reports.py
@@ -1,4 +1,4 @@
-"""Stats as text exposition for scrapers and as JSON that can be merged."""
+"""Stats as Prometheus text exposition and as JSON reports that can be merged."""
 
 from hdrh.histogram import HdrHistogram
 from returns.result import Result, safe
@@ -10,7 +10,7 @@
 QUANTILES = (0.5, 0.95, 0.99)
 REPORT_VERSION = 1
 
-# Each row: metric, what a Series gives for it, and its help text.
+# Each row: the metric's name, a function that reads it from a Series, its help text.
 COUNTERS = (
     ("tokens_total", lambda series: series.tokens, "Tokens passed to callers."),
     (
@@ -22,26 +22,26 @@
 
 
 def escape(text):
-    """Return a label value as the text exposition format wants it."""
+    """Return a label value escaped for the text exposition format."""
     return text.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
-def _label(series, **more):
-    labels = {"customer": series.customer, "class": series.work_class, **more}
+def _make_labels(series, **extra):
+    labels = {"customer": series.customer, "class": series.work_class, **extra}
     return ",".join(f'{name}="{escape(value)}"' for name, value in labels.items())
 
 
 def render_metrics(stats):
     """Yield the text exposition in blocks, so that a writer can pause between them.
 
-    Quantiles are of this instance alone and can't be averaged; /-/histograms can be
-    merged.
+    Quantiles cover this instance only and can't be averaged over several; the
+    histograms of /-/histograms can be merged.
     """
     rows = stats.list_series()
-    for name, read, text in COUNTERS:
+    for name, read_total, text in COUNTERS:
         yield _render_head(name, "counter", text)
         for series in rows:
-            yield f"chervilwing_{name}{{{_label(series)}}} {read(series)}\n"
+            yield f"chervilwing_{name}{{{_make_labels(series)}}} {read_total(series)}\n"
     yield _render_head("requests_total", "counter", "Finished requests.")
     for series in rows:
         yield _render_outcomes(series)
@@ -58,7 +58,7 @@
 def _render_outcomes(series):
     lines = []
     for (outcome, cause), count in sorted(series.outcomes.items()):
-        labels = _label(series, outcome=outcome, cause=cause)
+        labels = _make_labels(series, outcome=outcome, cause=cause)
         lines.append(f"chervilwing_requests_total{{{labels}}} {count}\n")
     return "".join(lines)
 
@@ -69,16 +69,18 @@
         return ""
     name = f"chervilwing_{kind}_seconds"
     lines = [
-        f"{name}{{{_label(series, quantile=str(quantile))}}} {seconds:g}\n"
+        f"{name}{{{_make_labels(series, quantile=str(quantile))}}} {seconds:g}\n"
         for quantile, seconds in read_quantiles(histogram).items()
     ]
-    lines.append(f"{name}_sum{{{_label(series)}}} {series.seconds[kind]:g}\n")
-    lines.append(f"{name}_count{{{_label(series)}}} {histogram.get_total_count()}\n")
+    lines.append(f"{name}_sum{{{_make_labels(series)}}} {series.seconds[kind]:g}\n")
+    lines.append(
+        f"{name}_count{{{_make_labels(series)}}} {histogram.get_total_count()}\n"
+    )
     return "".join(lines)
 
 
 def read_quantiles(histogram):
-    """Return quantile to seconds."""
+    """Return a dict from each of QUANTILES to its value in seconds."""
     by_percentile = histogram.get_percentile_to_value_dict(
         [quantile * 100 for quantile in QUANTILES]
     )
@@ -89,7 +91,7 @@
 
 
 def make_report(stats):
-    """Return the JSON body of ``GET /-/histograms``; histograms are HDR encoded."""
+    """Return the JSON body of ``GET /-/histograms``, with histograms HDR encoded."""
     return {
         "version": REPORT_VERSION,
         "units_per_second": UNITS_PER_SECOND,
@@ -116,7 +118,7 @@
 
 @safe(exceptions=(BadRequest,))
 def merge_reports(reports) -> Result[Stats, BadRequest]:
-    """Return the Stats of several instances' reports together."""
+    """Return the merged Stats of several instances' reports, or BadRequest."""
     total = Stats(pairs=1_000_000)
     for report in reports:
         try:
@@ -124,7 +126,7 @@
                 raise ValueError(f"version {report['version']!r}")
             for entry in report["series"]:
                 _add_entry(total, entry)
-        # hdrh raises its own errors and zlib's on bytes that aren't a histogram.
+        # Invalid bytes make hdrh raise its own exceptions and those of zlib.
         except Exception as exc:
             raise BadRequest(f"not a report of histograms: {exc!r:.200}") from exc
     return total
@@ -147,7 +149,7 @@
 
 
 def summarise(stats):
-    """Return rows for people: counts, tokens and quantiles in seconds."""
+    """Return rows for display: counts, tokens and quantiles in seconds."""
     rows = []
     for series in stats.list_series():
         row = {
--- a/src/chervilwing/stats.py
+++ b/src/chervilwing/stats.py
@@ -1,4 +1,4 @@
-"""Latencies, outcomes and tokens for each customer and class, in bounded memory."""
+"""Latency, outcome and token statistics by customer and class, in bounded memory."""
 
 from collections import Counter
 
@@ -9,28 +9,29 @@
 WHOLE_ANSWER = "whole_answer"
 LATENCIES = (FIRST_TOKEN, BETWEEN_TOKENS, WHOLE_ANSWER)
 
-# Values are counted in tenths of a millisecond, to an hour, with two significant
-# digits: 1 % of the 63 ms between tokens that letter 1 asks for is 0.6 ms. A histogram
-# of this range takes 21.6 kB, so 64 pairs with three latencies take 4.2 MB of the
-# 128 MB that a node may spend on control.
-# One value costs 2.3 us to count: a chunk of several tokens is counted at once.
+# Latencies are recorded in tenths of a millisecond, up to an hour, with two significant
+# digits; at the target of 63 ms between tokens, the error of 1 % is 0.6 ms. A histogram
+# of this range takes 21.6 kB, so 64 pairs of customer and class with three latencies
+# each take 4.2 MB of the 128 MB that a node has for the control plane.
+# To record a value takes 2.3 us, so the gaps of a chunk of several tokens are recorded
+# together.
 UNITS_PER_SECOND = 10_000
-HIGHEST = 3600 * UNITS_PER_SECOND
-DIGITS = 2
+MAX_UNITS = 3600 * UNITS_PER_SECOND
+SIGNIFICANT_DIGITS = 2
 
-# Parentheses can't occur in a configured name, so this can't meet a customer's.
+# A configured name can't contain parentheses, so these can't clash with a customer's.
 OTHER = "(other)"
 NOBODY = "(none)"
-CAUSES_MAX = 64
+MAX_CAUSES = 64
 
 
 def make_histogram():
-    """Return an empty histogram of our range; only equal ranges can be merged."""
-    return HdrHistogram(1, HIGHEST, DIGITS)
+    """Return an empty histogram; all share one range, as merging requires it."""
+    return HdrHistogram(1, MAX_UNITS, SIGNIFICANT_DIGITS)
 
 
 class Series:
-    """State of one customer and class."""
+    """Counters and latency histograms of one customer and class."""
 
     def __init__(self, customer, work_class):
         self.customer = customer
@@ -42,48 +43,48 @@
         self.recomputed = 0
 
     def record_latency(self, kind, seconds, count=1):
-        """Count a latency of one of the LATENCIES; beyond an hour counts as an hour."""
+        """Record a latency of a kind in LATENCIES; an hour is the highest value."""
         histogram = self.latencies.get(kind)
         if histogram is None:
             histogram = self.latencies[kind] = make_histogram()
-        units = max(1, min(HIGHEST, round(seconds * UNITS_PER_SECOND)))
+        units = max(1, min(MAX_UNITS, round(seconds * UNITS_PER_SECOND)))
         histogram.record_value(units, count)
         self.seconds[kind] += seconds * count
 
     def record_first_token(self, seconds):
-        """Count the time from a request's arrival to its first token."""
+        """Record the time in seconds from a request's arrival to its first token."""
         self.record_latency(FIRST_TOKEN, seconds)
 
     def record_gap(self, seconds, count=1):
-        """Count the time between two tokens; ``count`` such gaps of a chunk at once."""
+        """Record the time in seconds between two tokens, for ``count`` equal gaps."""
         self.record_latency(BETWEEN_TOKENS, seconds, count)
 
     def record_answer(self, seconds):
-        """Count the time from a request's arrival to the end of its answer."""
+        """Record the time in seconds from a request's arrival to its answer's end."""
         self.record_latency(WHOLE_ANSWER, seconds)
 
     def record_outcome(self, outcome, cause=""):
         """Count a finished request by its outcome and the type of its failure.
 
-        Causes beyond CAUSES_MAX are counted together, so that a caller who finds a way
-        to make up causes can't fill the memory.
+        Causes beyond MAX_CAUSES are counted together, so that a caller who can trigger
+        arbitrary causes can't fill the memory.
         """
         key = (outcome, cause)
-        if key not in self.outcomes and len(self.outcomes) >= CAUSES_MAX:
+        if key not in self.outcomes and len(self.outcomes) >= MAX_CAUSES:
             key = (outcome, OTHER)
         self.outcomes[key] += 1
 
     def record_tokens(self, tokens, recomputed=0):
-        """Count tokens passed to the caller, and tokens that engines computed again."""
+        """Count tokens sent to the caller, and tokens that engines recomputed."""
         self.tokens += tokens
         self.recomputed += recomputed
 
 
 class Stats:
-    """State of all customers and classes; ``pairs`` bounds how many are kept apart.
+    """Statistics of at most ``pairs`` pairs of customer and class.
 
-    Pairs beyond the bound share one series named ``(other)``. A pair once seen keeps
-    its place until the process ends, so that its counters never go backwards.
+    Further pairs share one series named ``(other)``. A pair keeps its series until the
+    process ends, so that its counters never decrease.
     """
 
     def __init__(self, pairs):
@@ -91,7 +92,7 @@
         self.series = {}
 
     def select(self, customer, work_class):
-        """Return the Series to record in; a request looks it up once."""
+        """Return the Series of a pair, or the shared one; a request calls this once."""
         key = (customer, work_class)
         if key not in self.series and len(self.series) >= self.pairs:
             key = (OTHER, OTHER)
@@ -100,5 +101,5 @@
         return self.series[key]
 
     def list_series(self):
-        """Return every Series, by customer and class."""
+        """Return all Series, sorted by customer and class."""
         return [self.series[key] for key in sorted(self.series)]
--- a/tests/test_stats.py
+++ b/tests/test_stats.py
@@ -1,4 +1,4 @@
-"""Tests of the figures: bounds, memory, exposition and merging."""
+"""Tests of the statistics: limits, memory, exposition and merging."""
 
 import json
 import tracemalloc
@@ -6,14 +6,15 @@
 
 from chervilwing.exceptions import BadRequest
 from chervilwing.reports import make_report, merge_reports, render_metrics, summarise
-from chervilwing.stats import CAUSES_MAX, OTHER, Stats, make_histogram
+from chervilwing.stats import MAX_CAUSES, OTHER, Stats, make_histogram
 
-# Bytes; measured 21.5 to 21.6 kB. A wider range or more digits would show here.
-MEMORY = 22_000
+# Bytes. A histogram takes 21.5 to 21.6 kB; a wider range or more digits would exceed
+# this.
+MAX_HISTOGRAM_SIZE = 22_000
 
 
 def make_stats(customer="c", gap=0.05):
-    """Return the Stats of one instance with a hundred gaps for one customer."""
+    """Return the Stats of one instance with 100 token gaps of one customer."""
     stats = Stats(pairs=4)
     series = stats.select(customer, "memo")
     series.record_first_token(0.8)
@@ -26,25 +27,25 @@
 
 
 class TestStats(unittest.TestCase):
-    def test_one_histogram_takes_the_memory_written_down(self):
+    def test_histogram_size_is_bounded(self):
         tracemalloc.start()
         kept = [make_histogram() for _ in range(20)]
         size = tracemalloc.get_traced_memory()[0] / len(kept)
         tracemalloc.stop()
-        self.assertLess(size, MEMORY)
+        self.assertLess(size, MAX_HISTOGRAM_SIZE)
 
-    def test_pairs_beyond_the_bound_share_one_series(self):
+    def test_pairs_beyond_the_limit_share_one_series(self):
         stats = Stats(pairs=2)
         for i in range(50):
             stats.select(f"c{i}", "memo").record_outcome("ran")
         self.assertEqual(len(stats.series), 3)
         self.assertEqual(stats.select(OTHER, OTHER).outcomes.total(), 48)
 
-    def test_causes_beyond_the_bound_are_counted_together(self):
+    def test_causes_beyond_the_limit_are_counted_together(self):
         series = Stats(pairs=1).select("c", "memo")
         for i in range(1000):
             series.record_outcome("not_run", f"cause-{i}")
-        self.assertLessEqual(len(series.outcomes), CAUSES_MAX + 1)
+        self.assertLessEqual(len(series.outcomes), MAX_CAUSES + 1)
         self.assertEqual(series.outcomes.total(), 1000)
 
     def test_latencies_out_of_range_are_still_counted(self):
@@ -77,7 +78,7 @@
         self.assertAlmostEqual(row["between_tokens"]["p50"], 0.05, delta=0.001)
         self.assertAlmostEqual(row["between_tokens"]["p95"], 0.2, delta=0.002)
 
-    def test_a_bad_report_is_a_typed_failure(self):
+    def test_a_malformed_report_is_a_bad_request(self):
         bad = make_report(make_stats())
         bad["series"][0]["latencies"]["first_token"]["histogram"] = "AAAA"
         for report in (bad, {}, [], {"version": 2}):
