--- a/src/chervilwing/addresses.py
+++ b/src/chervilwing/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as text: an IP number and a port, ``10.0.0.1:80`` or ``[::1]:80``."""
+"""Parse and format addresses such as ``10.0.0.1:80`` or ``[::1]:80``."""
 
 from ipaddress import ip_address
 
@@ -8,10 +8,10 @@
 
 
 def parse_address(text):
-    """Return the Address that a text names; raise ValueError with the reason.
+    """Return the Address for HOST:PORT; raise ValueError with the reason.
 
-    Host names are refused: processes reach each other by IP number (brief, "Where it
-    will run"), so a lost name service can't stop them.
+    Host names are rejected: processes reach each other by IP address, so that an outage
+    of the name service can't stop them.
     """
     host, colon, port = text.rpartition(":")
     if not colon:
@@ -27,6 +27,6 @@
 
 
 def format_address(address):
-    """Return HOST:PORT, with brackets round an IPv6 number."""
+    """Return HOST:PORT, with brackets around an IPv6 address."""
     host = f"[{address.host}]" if ":" in address.host else address.host
     return f"{host}:{address.port}"
--- a/src/chervilwing/models.py
+++ b/src/chervilwing/models.py
@@ -1,4 +1,4 @@
-"""The data that the core passes about: immutable, with no behaviour of its own."""
+"""Immutable data types of the configuration, shared by all modules."""
 
 from typing import NamedTuple
 
@@ -7,14 +7,14 @@
 
 
 class Address(NamedTuple):
-    """An IP number and a TCP port."""
+    """An IP address and a port number."""
 
     host: str
     port: int
 
 
 class Upstream(NamedTuple):
-    """One back end instance: a model engine or a plain service."""
+    """One back-end process: a model engine or a plain service."""
 
     name: str
     kind: str
@@ -28,7 +28,7 @@
 
 
 class Pool(NamedTuple):
-    """Upstreams that can stand in for one another."""
+    """A set of interchangeable upstreams."""
 
     name: str
     kind: str
@@ -36,18 +36,18 @@
 
 
 class CallClass(NamedTuple):
-    """The work class of one call, ``POST /notes``, and of all paths below it."""
+    """The work class of a call such as ``POST /notes`` and of all paths below it."""
 
     call: str
     work_class: str
 
 
 class Service(NamedTuple):
-    """A plain service and which of its calls may be repeated.
+    """A plain service and which of its calls are idempotent.
 
-    A call is a method and a path, ``POST /notes``; it stands for all paths below it. A
-    call that no list names is judged by its method (RFC 9110, section 9.2.2), so that a
-    forgotten line costs a retry and never a second effect.
+    A call is a method and a path such as ``POST /notes``, and includes all paths below
+    it. A call in neither list is idempotent if its method is (RFC 9110, section 9.2.2),
+    so that a missing entry may prevent a retry but never causes a second effect.
     """
 
     name: str
@@ -59,16 +59,16 @@
 
 
 class Share(NamedTuple):
-    """The part of a model name's traffic, 0 to 1, that one version gets."""
+    """The fraction of a model's traffic, from 0 to 1, that one version receives."""
 
     version: str
     part: float
 
 
 class ModelRoute(NamedTuple):
-    """The public name of a model, its pool and the versions behind it.
+    """The public name of a model, its pool and the versions that serve it.
 
-    An empty ``work_class``, here or in a Service, leaves the customer's own in force.
+    If ``work_class`` is empty, here or in a Service, the customer's own applies.
     """
 
     name: str
@@ -78,7 +78,10 @@
 
 
 class WorkClass(NamedTuple):
-    """How one class of work is treated: 0 is the most urgent priority."""
+    """Scheduling of one class of work; priority 0 is the most urgent.
+
+    ``deadline`` and ``first_token``, the target for the first token, are in seconds.
+    """
 
     name: str
     priority: int = 1
@@ -87,7 +90,7 @@
 
 
 class Customer(NamedTuple):
-    """A caller's organisation as the rules know it; keys are SHA-256 digests."""
+    """A caller's organisation and its limits; ``key_hashes`` are SHA-256 digests."""
 
     name: str
     key_hashes: tuple[str, ...] = ()
@@ -98,10 +101,11 @@
 
 
 class Fleet(NamedTuple):
-    """What may be bought for a pool; a ceiling of 0 is none.
+    """What may be bought for a pool; a ``price_ceiling`` of 0 means no ceiling.
 
-    ``spare`` is the part of the load that must still fit once the largest zone or data
-    centre is lost. At most ``max_instances`` are bought, beside the inventory's.
+    ``spare`` is the fraction of the load that must still be served after the loss of
+    the largest zone or data centre. At most ``max_instances`` are bought in addition to
+    those of the inventory.
     """
 
     name: str
@@ -114,7 +118,7 @@
 
 
 class Inventory(NamedTuple):
-    """What the operators own and where."""
+    """The pools, upstreams and services that the operators own."""
 
     pools: tuple[Pool, ...] = ()
     upstreams: tuple[Upstream, ...] = ()
@@ -122,7 +126,7 @@
 
 
 class Rules(NamedTuple):
-    """Who may try what, at what share of traffic, with what priority."""
+    """Customers, work classes, model routes and fleets."""
 
     customers: tuple[Customer, ...] = ()
     classes: tuple[WorkClass, ...] = ()
@@ -131,9 +135,11 @@
 
 
 class Configuration(NamedTuple):
-    """One revision of inventory and rules; ``operation`` settles lost answers.
+    """One revision of the inventory and the rules.
 
-    ``at`` is the time of the edit in ISO 8601, for reading only: no decision uses it.
+    ``operation`` identifies the edit, so that a writer whose answer was lost can find
+    out whether it was applied. ``at`` is the time of the edit in ISO 8601, for display
+    only.
     """
 
     revision: int
--- a/src/chervilwing/settings.py
+++ b/src/chervilwing/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the entry daemon: one table drives parsing, checks, help and docs."""
+"""Settings of the entry daemon; one table defines parsing, checks, help and docs."""
 
 import argparse
 import re
@@ -19,8 +19,8 @@
 LOG_FORMATS = ("json", "text")
 LOG_LEVELS = ("debug", "info", "warning", "error")
 MIB = 1024 * 1024
-DIGEST = re.compile(r"[0-9a-f]{64}", re.ASCII)
-# Variables of the operators' tool, which may stand in the same environment.
+DIGEST_PATTERN = re.compile(r"[0-9a-f]{64}", re.ASCII)
+# Variables of the operators' tool, which may be set in the same environment.
 TOOL_VARIABLES = frozenset({PREFIX + "INSTANCES", PREFIX + "OPERATOR_KEY"})
 
 
@@ -61,7 +61,7 @@
 
 
 class Field(NamedTuple):
-    """One setting: its name, form, default as text, unit or form, and meaning."""
+    """One setting: its name, parser, default as text, unit or format, and meaning."""
 
     name: str
     parse: Callable[[str], Any]
@@ -71,7 +71,7 @@
 
     @property
     def flag(self):
-        """Return the name of the flag."""
+        """Return the command-line flag."""
         return "--" + self.name.replace("_", "-")
 
     @property
@@ -81,19 +81,19 @@
 
 
 def parse_optional_address(text):
-    """Return an Address, or None for an empty text."""
+    """Return an Address, or None for empty text."""
     return parse_address(text) if text else None
 
 
 def parse_addresses(text):
-    """Return the Addresses of a comma list."""
+    """Return the Addresses of a comma-separated list."""
     return tuple(
         parse_address(part.strip()) for part in text.split(",") if part.strip()
     )
 
 
 def parse_name(text):
-    """Return a name that is safe in keys, headers and log lines."""
+    """Return a name that is valid in store keys, header fields and log lines."""
     if not text or len(text) > 64 or not text.isascii():
         raise ValueError(f"{text!r} is not a name of 1 to 64 ASCII characters")
     if not all(char.isalnum() or char in "-_." for char in text):
@@ -102,19 +102,19 @@
 
 
 def parse_optional_name(text):
-    """Return a name, or an empty text."""
+    """Return a valid name, or empty text."""
     return parse_name(text) if text else ""
 
 
 def parse_digest(text):
-    """Return a SHA-256 digest in small hex, or an empty text."""
-    if text and not DIGEST.fullmatch(text):
-        raise ValueError("not a SHA-256 digest in small hex")
+    """Return a SHA-256 digest in lower-case hex, or empty text."""
+    if text and not DIGEST_PATTERN.fullmatch(text):
+        raise ValueError("not a SHA-256 digest in lower-case hex")
     return text
 
 
 def parse_flag(text):
-    """Return True or False for the usual words."""
+    """Return True or False for words such as ``yes`` or ``off``."""
     word = text.lower()
     if word in TRUE_WORDS | FALSE_WORDS:
         return word in TRUE_WORDS
@@ -140,7 +140,7 @@
 
 
 def one_of(choices):
-    """Return a parser that takes only the given words."""
+    """Return a parser that accepts only the given choices."""
 
     def parse(text):
         if text not in choices:
@@ -199,9 +199,9 @@
     Field("request_timeout", parse_seconds, "120", "s", "for a whole request"),
     Field("drain_timeout", parse_seconds, "150", "s", "for a planned stop"),
     Field("drain_lag", parse_seconds, "5", "s", "that the balancer may lag at a stop"),
-    # Load: callers that give up look the same as callers that come back. Harm: each
-    # second is an engine's slot that may write for nobody; a client that reconnects
-    # does so within a second or two.
+    # Callers that give up can't be distinguished from those that will reconnect, and a
+    # request that keeps running may occupy an engine's slot for nobody. A client that
+    # reconnects does so within a second or two.
     Field(
         "reconnect_grace",
         parse_seconds,
@@ -209,7 +209,7 @@
         "s",
         "that a request runs on after its caller's connection broke",
     ),
-    # A caller whose entry instance went away first waits for its balancer.
+    # A caller whose entry instance failed first waits for its load balancer to notice.
     Field(
         "reconnect_keep",
         parse_seconds,
@@ -217,7 +217,7 @@
         "s",
         "that an answer is kept for its caller to come back",
     ),
-    # An eighth of the 128 MB that a node has for control (letter 1).
+    # An eighth of the 128 MB that a node has for the control plane.
     Field(
         "reconnect_bytes",
         parse_count,
@@ -231,16 +231,17 @@
     Field(
         "stats_pairs", parse_count, "64", "count", "customer and class pairs kept apart"
     ),
-    # Load: a new version for all engines of a data centre. Harm: loads that share the
-    # weight store's rate all end late. While one reads, another fills its accelerator.
+    # When all engines of a data centre load a new version, the loads share the weight
+    # store's rate and would all finish late. With two at once, one can read while the
+    # other fills its accelerator.
     Field("loads_at_once", parse_count, "2", "count", "model loads in a data centre"),
     Field("operator_key_hash", parse_digest, "", "digest", "SHA-256 of operators' key"),
 )
-FIELD_OF = {field.name: field for field in FIELDS}
+FIELDS_BY_NAME = {field.name: field for field in FIELDS}
 
 
 class Program(NamedTuple):
-    """A daemon, as its help names it, and its settings."""
+    """A daemon: its name and purpose in the help text, and its settings."""
 
     name: str
     purpose: str
@@ -258,7 +259,7 @@
 
 
 def build_parser(program):
-    """Return the parser of a program's flags; a fault raises BadSetting."""
+    """Return the parser of a program's flags, which raises BadSetting on errors."""
     parser = _Parser(
         prog=program.name,
         description=program.purpose,
@@ -267,12 +268,14 @@
         allow_abbrev=False,
     )
     for field in program.fields:
-        bare = {"nargs": "?", "const": "true"} if field.parse is parse_flag else {}
+        value_options = (
+            {"nargs": "?", "const": "true"} if field.parse is parse_flag else {}
+        )
         parser.add_argument(
             field.flag,
             metavar=field.form,
             help=f"{field.help} [{field.default or 'none'}]",
-            **bare,
+            **value_options,
         )
     parser.add_argument("-h", "--help", action="store_true", help="print this text")
     return parser
@@ -281,22 +284,22 @@
 def read_settings(argv, environ) -> Result[Settings, BadSetting]:
     """Return checked settings from flags and ``CHERVILWING_*`` variables.
 
-    ``argv`` is without the program's name. A flag goes before its variable, and a
-    variable before the default. Unknown flags and unknown variables of our prefix are
-    refused, so that a misspelt limit doesn't leave the default in force unseen.
+    ``argv`` excludes the program's name. A flag overrides its variable, and a variable
+    overrides the default. Unknown flags and unknown ``CHERVILWING_*`` variables are
+    rejected, so that a misspelt limit doesn't silently leave the default in force.
     """
     try:
         flags = vars(build_parser(ENTRY).parse_args(list(argv)))
-        _refuse_unknown(environ)
+        _reject_unknown(environ)
         values = {field.name: read_field(field, flags, environ) for field in FIELDS}
         cfg = Settings(**values)
-        _check_together(cfg)
+        _check_combinations(cfg)
     except BadSetting as exc:
         return Failure(exc)
-    return Success(_name_instance(cfg))
+    return Success(_fill_in_name(cfg))
 
 
-def _refuse_unknown(environ):
+def _reject_unknown(environ):
     known = {field.variable for field in FIELDS} | TOOL_VARIABLES
     for variable in sorted(environ):
         if variable.startswith(PREFIX) and variable not in known:
@@ -304,7 +307,7 @@
 
 
 def read_field(field, flags, environ):
-    """Return one setting, or raise a BadSetting that names where it was given."""
+    """Return one setting, or raise a BadSetting that names its flag or variable."""
     text, source = flags[field.name], field.flag
     if text is None and field.variable in environ:
         text, source = environ[field.variable], field.variable
@@ -316,8 +319,8 @@
         raise BadSetting(f"{source}: {exc}") from None
 
 
-# Each row: what must hold, the setting to name, and why.
-CHECKS = (
+# Each row: a condition, the setting to report when it is false, and the reason.
+COMBINATION_CHECKS = (
     (
         lambda cfg: cfg.embedded or cfg.store is not None,
         "store",
@@ -328,9 +331,8 @@
         "silence_timeout",
         "longer than --request-timeout, so it would never act",
     ),
-    # A stop that ends before the longest request would cut it (brief, "What must
-    # always hold": a planned stop cuts no request in flight). The last request may come
-    # at the end of the balancer's lag.
+    # A planned stop must not interrupt any request in flight, and the last request may
+    # arrive at the end of the load balancer's lag.
     (
         lambda cfg: cfg.drain_timeout >= cfg.request_timeout + cfg.drain_lag,
         "drain_timeout",
@@ -344,13 +346,13 @@
 )
 
 
-def _check_together(cfg):
-    for holds, name, reason in CHECKS:
-        if not holds(cfg):
-            raise BadSetting(f"{FIELD_OF[name].flag}: {reason}")
+def _check_combinations(cfg):
+    for is_valid, name, reason in COMBINATION_CHECKS:
+        if not is_valid(cfg):
+            raise BadSetting(f"{FIELDS_BY_NAME[name].flag}: {reason}")
 
 
-def _name_instance(cfg):
+def _fill_in_name(cfg):
     if cfg.name:
         return cfg
     host = cfg.listen.host.replace(":", ".")
@@ -358,7 +360,7 @@
 
 
 def render_help(program=ENTRY):
-    """Return the text for ``--help``."""
+    """Return the text printed for ``--help``."""
     return build_parser(program).format_help()
 
 
@@ -374,8 +376,8 @@
 
 
 def describe(cfg):
-    """Return the settings as plain values, for the log line at the start."""
-    # The digest of a key that is too short can be searched through by who reads logs.
+    """Return the settings as plain values, for the log line at startup."""
+    # A reader of the logs could find a short key from its digest by exhaustive search.
     cfg = cfg._replace(operator_key_hash="set" if cfg.operator_key_hash else "")
     return {name: _to_plain(value) for name, value in cfg._asdict().items()}
 
