--- a/src/chervilwing/bounds.py
+++ b/src/chervilwing/bounds.py
@@ -1,7 +1,7 @@
-"""Tables that keep their latest entries only."""
+"""Tables of bounded size."""
 
 
-def keep_latest(table, most):
-    """Drop the first entries of an OrderedDict that has more than so many."""
-    while len(table) > most:
+def keep_latest(table, max_entries):
+    """Remove the oldest entries of an OrderedDict until ``max_entries`` remain."""
+    while len(table) > max_entries:
         table.popitem(last=False)
--- a/src/chervilwing/costs.py
+++ b/src/chervilwing/costs.py
@@ -1,14 +1,15 @@
-"""Estimates of what a piece of work costs, in the time of one decoded token."""
+"""Estimates of the cost of a request, in units of the time to decode one token."""
 
 from .models import SERVICE
 
-# A prompt token costs this part of a decoded one: prefill is bound by arithmetic
-# and runs in parallel, decoding is bound by memory and runs one by one.
-PREFILL_PART = 0.01
+# Cost of a prompt token relative to a decoded one: prefill is compute-bound and
+# processes tokens in parallel, decoding is memory-bound and produces one at a time.
+PREFILL_COST = 0.01
 SERVICE_COST = 1.0
-# Part of max_tokens that is expected before anything was measured.
-FIRST_GUESS = 0.6
-# Weight of a new sample: a change in a customer's habits shows after about 20.
+# Fraction of max_tokens that a request is expected to generate, without samples.
+DEFAULT_OUTPUT_FRACTION = 0.6
+# Weight of a new sample in a moving average, which follows a change of a customer's
+# requests after about 20 samples.
 SAMPLE_WEIGHT = 0.05
 
 
@@ -18,35 +19,37 @@
 
 
 class CostModel:
-    """Expected output lengths by customer and class, and costs made from them.
+    """Expected output lengths by customer and class, and the resulting costs.
 
-    Load: few very long requests among many short ones. Harm prevented: counted as
-    requests, a customer with long prompts takes many times its share.
+    A few very long requests may come among many short ones. If each request counted the
+    same, a customer with long prompts would get many times its share.
     """
 
     def __init__(self):
-        self._parts = {}
+        self._output_fractions = {}
 
     def expect_output(self, work):
-        """Return how many tokens are still to be generated."""
-        part = self._parts.get((work.customer, work.work_class), FIRST_GUESS)
-        return max(1.0, work.max_tokens * part - work.tokens)
+        """Return the expected number of tokens still to be generated, at least 1."""
+        fraction = self._output_fractions.get(
+            (work.customer, work.work_class), DEFAULT_OUTPUT_FRACTION
+        )
+        return max(1.0, work.max_tokens * fraction - work.tokens)
 
     def estimate(self, work, cached=0):
-        """Return the cost with so many prompt tokens already cached."""
+        """Return the expected cost; ``cached`` prompt tokens cost nothing."""
         if work.kind == SERVICE:
             return SERVICE_COST
-        fresh = max(0, work.prompt_tokens + work.tokens - cached)
-        return fresh * PREFILL_PART + self.expect_output(work)
+        uncached = max(0, work.prompt_tokens + work.tokens - cached)
+        return uncached * PREFILL_COST + self.expect_output(work)
 
     def measure(self, work, tokens, cached=0):
-        """Return the cost that the finished work really had, and learn from it."""
+        """Return the actual cost of finished work, and update the expected length."""
         if work.kind == SERVICE:
             return SERVICE_COST
         if work.max_tokens:
             key = (work.customer, work.work_class)
-            old = self._parts.get(key, FIRST_GUESS)
-            whole = min(1.0, (work.tokens + tokens) / work.max_tokens)
-            self._parts[key] = blend(old, whole)
-        fresh = max(0, work.prompt_tokens + work.tokens - cached)
-        return fresh * PREFILL_PART + max(1, tokens)
+            old = self._output_fractions.get(key, DEFAULT_OUTPUT_FRACTION)
+            fraction_used = min(1.0, (work.tokens + tokens) / work.max_tokens)
+            self._output_fractions[key] = blend(old, fraction_used)
+        uncached = max(0, work.prompt_tokens + work.tokens - cached)
+        return uncached * PREFILL_COST + max(1, tokens)
--- a/src/chervilwing/exceptions.py
+++ b/src/chervilwing/exceptions.py
@@ -1,4 +1,4 @@
-"""Every failure that chervilwing reports, each as a type of its own."""
+"""The exceptions of chervilwing, one type for each kind of failure."""
 
 from typing import NamedTuple
 
@@ -8,10 +8,10 @@
 
 
 class Scope(NamedTuple):
-    """Name the one thing that a failure speaks about.
+    """The resource that a failure is about.
 
-    RFC 5390 REQ 18: a refusal without a scope makes its receiver retry into the
-    same exhausted resource or shun a healthy one.
+    Without it, the receiver of a refusal would retry on the same exhausted resource or
+    avoid a healthy one (RFC 5390, REQ 18).
     """
 
     kind: str
@@ -22,10 +22,10 @@
 
 
 class ChervilwingError(Exception):
-    """Base of all failures; subclasses fix the status, the type and the outcome.
+    """Base of all failures; subclasses set the HTTP status, type, title and outcome.
 
-    ``outcome`` says whether the request ran: only ``not_run`` invites a retry of
-    work that must not be repeated.
+    ``outcome`` says whether the request ran: work that must not be repeated may be
+    retried only after ``not_run``. ``retry_after`` is in seconds.
     """
 
     status = 500
@@ -43,13 +43,13 @@
 
 
 class BadRequest(ChervilwingError):
-    """The request can't be read as HTTP or JSON of the right shape."""
+    """The request is not valid HTTP, or not JSON of the expected form."""
 
     status, type, title, outcome = 400, "bad-request", "Malformed request", NOT_RUN
 
 
 class UnknownCustomer(ChervilwingError):
-    """The API key names no customer."""
+    """The API key belongs to no customer."""
 
     status, type, title, outcome = 401, "unknown-customer", "Unknown API key", NOT_RUN
 
@@ -62,7 +62,7 @@
 
 
 class NotAllowed(ChervilwingError):
-    """The rules don't let this customer use this model or service."""
+    """The rules don't allow this customer to use this model or service."""
 
     status, type, title, outcome = 403, "not-allowed", "Not allowed by rule", NOT_RUN
 
@@ -80,13 +80,13 @@
 
 
 class Conflict(ChervilwingError):
-    """Two writers raced; the text shows both sides."""
+    """Two concurrent writes conflict; the message shows both versions."""
 
     status, type, title, outcome = 409, "conflict", "Conflicting write", NOT_RUN
 
 
 class EditConflict(Conflict):
-    """Two operators changed the same entry; ``overlaps`` holds both sides of each."""
+    """Two operators changed the same entries; ``overlaps`` holds both versions."""
 
     type, title = "edit-conflict", "Conflicting edit"
 
@@ -96,94 +96,94 @@
 
 
 class LengthRequired(ChervilwingError):
-    """The body's length isn't given up front (RFC 9110, section 15.5.12)."""
+    """The request has no Content-Length (RFC 9110, section 15.5.12)."""
 
     status, type, title, outcome = 411, "length-required", "Length required", NOT_RUN
 
 
 class TooLarge(ChervilwingError):
-    """The head or the body is over its limit."""
+    """The head or the body of the request exceeds its limit."""
 
     status, type, title, outcome = 413, "too-large", "Request too large", NOT_RUN
 
 
 class CustomerLimit(ChervilwingError):
-    """The customer's own queue or retry budget is used up."""
+    """A limit of the customer, such as its queue or retry budget, is used up."""
 
     status, type, title, outcome = 429, "customer-limit", "Customer limit", NOT_RUN
 
 
 class AllowanceUnknown(ChervilwingError):
-    """This instance is cut off, and others may have what is left of an allowance."""
+    """This instance is partitioned; others may have used the rest of an allowance."""
 
     status, type, title = 503, "allowance-unknown", "Allowance unknown"
     outcome = NOT_RUN
 
 
 class PoolFull(ChervilwingError):
-    """The pool can't meet the deadline of more work."""
+    """The pool has no capacity to finish more work by its deadline."""
 
     status, type, title, outcome = 503, "pool-full", "Pool full", NOT_RUN
 
 
 class PoolLimited(ChervilwingError):
-    """The pool's upstreams name limits on what they are sent, and these are used up."""
+    """All upstreams of the pool have reached the limits that they announced."""
 
     status, type, title, outcome = 503, "pool-limited", "Pool limited", NOT_RUN
 
 
 class NoUpstream(ChervilwingError):
-    """No upstream of the pool can be reached or may take new work."""
+    """No upstream of the pool is reachable and accepts new work."""
 
     status, type, title, outcome = 503, "no-upstream", "No upstream", NOT_RUN
 
 
 class RequestBarred(ChervilwingError):
-    """Several upstreams crashed while they ran this request."""
+    """The request is blocked, as several upstreams crashed while running it."""
 
     status, type, title, outcome = 503, "request-barred", "Request barred", NOT_RUN
 
 
 class UpstreamFailed(ChervilwingError):
-    """An upstream broke off; whether the work ran can't be told."""
+    """A call to an upstream failed; by default it is unknown whether the work ran."""
 
     status, type, title, outcome = 502, "upstream-failed", "Upstream failed", UNKNOWN
 
 
 class UpstreamSilent(UpstreamFailed):
-    """An upstream, or the path to it, gave no sign for too long."""
+    """An upstream, or the path to it, was silent for longer than the timeout."""
 
     type, title = "upstream-silent", "Upstream silent"
 
 
 class ConnectionBroken(UpstreamFailed):
-    """An upstream's end of the connection closed before the answer was whole."""
+    """The connection to an upstream closed before the answer was complete."""
 
 
 class PathSilent(UpstreamSilent):
-    """Old connections to an upstream gave no sign while a new one is answered."""
+    """An upstream is silent on old connections but answers on a new one."""
 
 
 class DeadlinePassed(ChervilwingError):
-    """The request was given up on at its deadline."""
+    """The request was not finished by its deadline."""
 
     status, type, title, outcome = 504, "deadline-passed", "Deadline passed", UNKNOWN
 
 
 class HandedOver(ChervilwingError):
-    """The instance is stopping and a peer goes on; ask for the same request again."""
+    """The instance is stopping and a peer continues the request; send it again."""
 
     status, type, title, outcome = 503, "handed-over", "Handed over", UNKNOWN
 
 
 class AnswerLost(ChervilwingError):
-    """No instance holds the answer that the caller has read a part of."""
+    """No instance holds the partly read answer that the caller wants to resume."""
 
     status, type, title, outcome = 410, "answer-lost", "Answer lost", UNKNOWN
 
 
 class PlatformDown(ChervilwingError):
-    """The key-value service can't be reached, so the claim can't be written."""
+    """The key-value service is unreachable, so the claim can't be written."""
 
     status, type, title, outcome = 503, "platform-down", "Platform down", NOT_RUN
 
@@ -207,26 +207,26 @@
 
 
 class BadFrame(ChervilwingError):
-    """A peer sent bytes that are not a frame of our protocol."""
+    """A peer sent bytes that are not a valid frame of the peer protocol."""
 
     type, title = "bad-frame", "Bad frame"
 
 
 class BadConfiguration(ChervilwingError):
-    """An inventory or rules document breaks a check; the text names the key."""
+    """An inventory or rules document is invalid; the message names the key."""
 
     status, type, title = 422, "bad-configuration", "Bad configuration"
     outcome = NOT_RUN
 
 
 class BadKey(ChervilwingError):
-    """The Idempotency-Key is not a UUIDv7, or its time lies in the future."""
+    """The Idempotency-Key is not a UUIDv7, or its timestamp is in the future."""
 
     status, type, title, outcome = 400, "bad-key", "Bad idempotency key", NOT_RUN
 
 
 class KeyExpired(ChervilwingError):
-    """The key is older than the kept window: it may have run and is not run again."""
+    """The key is older than the records kept: it may have run and is not run again."""
 
     status, type, title, outcome = 410, "key-expired", "Key too old", UNKNOWN
 
@@ -238,42 +238,42 @@
 
 
 class InProgress(ChervilwingError):
-    """A first request with this key is running; ask again after ``retry_after``."""
+    """An earlier request with this key is running; retry after ``retry_after``."""
 
     status, type, title, outcome = 409, "in-progress", "In progress", UNKNOWN
 
 
 class OutcomeUnknown(ChervilwingError):
-    """The instance that ran this key vanished; the key is never run again."""
+    """The instance that ran this key was lost; the key is never run again."""
 
     status, type, title, outcome = 409, "outcome-unknown", "Outcome unknown", UNKNOWN
 
 
 class ClaimsFull(ChervilwingError):
-    """The key's segment has no room for another claim; a later key has."""
+    """The key's segment of claims is full; a key with a later timestamp has room."""
 
     status, type, title, outcome = 503, "claims-full", "Claims full", NOT_RUN
 
 
 class NoConfiguration(NotReady):
-    """Neither the key-value service nor a peer has given a configuration yet."""
+    """No configuration was received yet from the key-value service or a peer."""
 
     type, title = "no-configuration", "No configuration"
 
 
 class StaleKeys(NotReady):
-    """What is known of the keys is too old: this one may have been taken away."""
+    """The stored API keys are too old: this one may have been revoked since."""
 
     type, title = "stale-keys", "Keys not fresh"
 
 
 class NotHolder(ChervilwingError):
-    """This instance doesn't hold the lease of the pool, so it gives no orders."""
+    """This instance doesn't hold the pool's lease, so it can't give orders."""
 
     status, type, title, outcome = 409, "not-holder", "Not the holder", NOT_RUN
 
 
 class OldFence(ChervilwingError):
-    """The engine has seen a newer fencing number: another instance holds the pool."""
+    """The engine has seen a newer fencing number, of another lease holder."""
 
     status, type, title, outcome = 409, "old-fence", "Old fencing number", NOT_RUN
--- a/src/chervilwing/fingerprints.py
+++ b/src/chervilwing/fingerprints.py
@@ -1,23 +1,24 @@
-"""Recognise a request by its content, under whichever id it comes."""
+"""Digests that identify a request by its content, whatever its id."""
 
 from hashlib import blake2b
 
-CONTENT_SIZE = 12
+# Digest sizes in bytes.
+CONTENT_DIGEST_SIZE = 12
 REPEAT_SIZE = 8
 
 
 def make_fingerprint(req):
-    """Return the hex digest of method, target and body."""
+    """Return the hex digest of the request's method, target and body."""
     text = f"{req.method} {req.path}?{req.query}\n".encode() + req.body
-    return blake2b(text, digest_size=CONTENT_SIZE).hexdigest()
+    return blake2b(text, digest_size=CONTENT_DIGEST_SIZE).hexdigest()
 
 
 def fingerprint_repeats(req, customer=""):
-    """Return the hex digest that all tries of one request share.
+    """Return the hex digest that is the same for all retries of one request.
 
-    Beside the content it holds the host and the customer, whichever of its keys was
-    used. Header fields are left out: ids, deadlines and the event after which a stream
-    goes on differ from try to try.
+    It covers the content, the host and the customer, but not which of the customer's
+    keys was used. Header fields are excluded, as ids, deadlines and the event from
+    which a stream resumes differ between retries.
     """
     host = req.headers.get("host", "").partition(":")[0].lower()
     text = f"{host}\n{customer}\n{make_fingerprint(req)}"
--- a/src/chervilwing/hashing.py
+++ b/src/chervilwing/hashing.py
@@ -1,30 +1,32 @@
-"""Hashes that are the same in every process, unlike the built-in one."""
+"""Consistent hashing, with hashes that are the same in every process."""
 
 from bisect import bisect_left
 from functools import lru_cache
 from hashlib import blake2b
 from itertools import islice
 
-# Points an upstream has on the ring; 64 keep arcs within about an eighth.
-POINTS = 64
+# Points of each name on the ring; with 64 the names' shares differ by about an eighth.
+POINTS_PER_NAME = 64
 
 
 def hash_text(text):
-    """Return a 64-bit number for the text."""
+    """Return a 64-bit hash of the text."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 @lru_cache(maxsize=2048)
 def make_points(name):
-    """Return the ring points of one name, kept since most names stay."""
-    return tuple((hash_text(f"{name}#{index}"), name) for index in range(POINTS))
+    """Return the ring points of a name; cached, as most names stay on the ring."""
+    return tuple(
+        (hash_text(f"{name}#{index}"), name) for index in range(POINTS_PER_NAME)
+    )
 
 
 class Ring:
-    """Consistent hashing of keys to names, with membership as its only input.
+    """Consistent hashing of keys to names; depends on the set of names only.
 
-    A look-up costs a bisection, so that a decision at 660 upstreams costs about
-    what it costs at 8; rendezvous hashing would hash every upstream each time.
+    A lookup takes one bisection, so that with 660 upstreams it takes about as long as
+    with 8; rendezvous hashing would hash every upstream for each lookup.
     """
 
     def __init__(self, names=()):
@@ -33,11 +35,11 @@
         self._names = [name for _, name in points]
 
     def find(self, key, count, live):
-        """Return the first ``count`` live names that stand in for the key."""
-        return list(islice(self._walk(key, live), count))
+        """Return the first ``count`` live names on the ring after the key."""
+        return list(islice(self._iterate_from(key, live), count))
 
-    def _walk(self, key, live):
-        """Yield distinct live names from the key's place onwards."""
+    def _iterate_from(self, key, live):
+        """Yield distinct live names in ring order, starting at the key's position."""
         start = bisect_left(self._keys, hash_text(key))
         seen = set()
         for step in range(len(self._names)):
--- a/src/chervilwing/ticks.py
+++ b/src/chervilwing/ticks.py
@@ -1,7 +1,7 @@
-"""The one event by which all tasks of a process learn that time has passed."""
+"""The event on which all components of a process run their periodic work."""
 
 from circuits import Event
 
 
 class tick(Event):
-    """Time has passed."""
+    """Fired at regular intervals."""
--- a/src/chervilwing/work.py
+++ b/src/chervilwing/work.py
@@ -1,11 +1,11 @@
-"""The data that goes in and out of the scheduler."""
+"""Input and output types of the scheduler."""
 
 from typing import NamedTuple
 
 from .exceptions import ChervilwingError
 from .models import MODEL
 
-# Outcomes of an attempt, as the task that owns the connection tells them.
+# Outcomes of an attempt, as reported by the owner of its connection.
 OK = "ok"
 FAILED = "failed"
 SILENT = "silent"
@@ -19,12 +19,12 @@
 class Work(NamedTuple):
     """One request as the scheduler sees it.
 
-    ``deadline`` is in seconds on the caller's clock, the same that ``now`` is read
-    from. ``prefix`` is a hash of the prompt's beginning, empty
-    when there is none worth keeping together. ``tokens`` were already streamed.
-    ``moves`` of the ``attempts`` ended only because their upstream was leaving.
-    ``keeper`` is the upstream that has the KV cache of prompt and tokens, if any.
-    ``model`` is the version chosen for this request.
+    ``deadline`` is in seconds on the clock that ``now`` is read from. ``prefix`` is a
+    hash of the prompt's beginning, by which requests share a KV cache, or empty.
+    ``tokens`` is the number of tokens already streamed. ``moves`` counts the
+    ``attempts`` that ended only because their upstream was leaving. ``keeper`` is the
+    upstream that holds the KV cache of the prompt and these tokens, if any. ``model``
+    is the model version chosen for this request.
     """
 
     request_id: str
@@ -47,7 +47,7 @@
 
 
 class Placement(NamedTuple):
-    """Send this request to this upstream now; ``cost`` is in decoded tokens."""
+    """A request to send to an upstream now; ``cost`` is in decoded tokens."""
 
     request_id: str
     upstream: str
@@ -55,7 +55,7 @@
 
 
 class Refusal(NamedTuple):
-    """The final answer to a request that was given up on."""
+    """The final failure of a request that is not run or not retried."""
 
     request_id: str
     exc: ChervilwingError
--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Which requests count as tries of one."""
+"""Tests of which requests are recognised as retries of one request."""
 
 import unittest
 
@@ -7,15 +7,15 @@
 
 
 def make_request(path="/memo/7", body=b"{}", method="POST", query="", **headers):
-    """Return a request of a caller."""
-    named = {"host": "a.example"} | headers
-    return HttpRequest(method, path, query, named, body, True)
+    """Return a request with these properties and header fields."""
+    fields = {"host": "a.example"} | headers
+    return HttpRequest(method, path, query, fields, body, True)
 
 
 class TestRepeats(unittest.TestCase):
-    def test_another_id_key_deadline_or_place_in_a_stream_changes_nothing(self):
+    def test_ids_keys_and_stream_positions_do_not_change_the_digest(self):
         first = fingerprint_repeats(make_request(), "insurer")
-        again = make_request(
+        retry = make_request(
             **{
                 "host": "A.example:80",
                 "x-request-id": "r2",
@@ -23,10 +23,10 @@
                 "last-event-id": "7",
             }
         )
-        self.assertEqual(fingerprint_repeats(again, "insurer"), first)
+        self.assertEqual(fingerprint_repeats(retry, "insurer"), first)
 
-    def test_another_body_path_method_host_or_customer_is_another_request(self):
-        found = {
+    def test_content_host_and_customer_change_the_digest(self):
+        digests = {
             fingerprint_repeats(make_request(), "insurer"),
             fingerprint_repeats(make_request(body=b"[]"), "insurer"),
             fingerprint_repeats(make_request(path="/memo/8"), "insurer"),
@@ -35,4 +35,4 @@
             fingerprint_repeats(make_request(host="b.example"), "insurer"),
             fingerprint_repeats(make_request(), "broker"),
         }
-        self.assertEqual(len(found), 7)
+        self.assertEqual(len(digests), 7)
