--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""Tests that docs/OPERATIONS.md names the keys, failures, commands and log lines."""
+"""Tests that docs/OPERATIONS.md lists all keys, failures, commands and log lines."""
 
 import ast
 import re
@@ -17,7 +17,7 @@
 
 
 def find_events():
-    """Yield the fixed messages of all log lines."""
+    """Yield the constant messages of all log lines."""
     for path in sorted((ROOT / "src" / "chervilwing").glob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Call) or not node.args:
@@ -29,7 +29,7 @@
 
 
 def find_types(type_):
-    """Return the problem types of a failure and of all below it."""
+    """Return the problem types of an exception class and of all its subclasses."""
     found = {type_.type}
     for child in type_.__subclasses__():
         found |= find_types(child)
@@ -37,15 +37,15 @@
 
 
 def name_command(item):
-    """Return the name that a command of the tool is called by."""
+    """Return the name by which a command of the operators' tool is called."""
     return item.name or item.callback.__name__
 
 
 class TestOperations(unittest.TestCase):
-    def check_named(self, names, form):
-        """Check that the page holds each name in a form; list those that it lacks."""
-        lacking = {name for name in names if form.format(name) not in PAGE}
-        self.assertEqual(lacking, set())
+    def check_listed(self, names, form):
+        """Check that the page contains each name, formatted with ``form``."""
+        missing = {name for name in names if form.format(name) not in PAGE}
+        self.assertEqual(missing, set())
 
     def test_every_configuration_key_is_in_its_sections_table(self):
         for section, shape in SHAPES.items():
@@ -54,16 +54,16 @@
             keys = re.findall(r"^\| `(\w+)` \|", table, re.MULTILINE)
             self.assertEqual(sorted(keys), sorted(shape.readers), section)
 
-    def test_every_failure_is_named(self):
+    def test_every_failure_is_listed(self):
         self.assertGreater(len(find_types(exceptions.ChervilwingError)), 20)
-        self.check_named(find_types(exceptions.ChervilwingError), "`{}`")
+        self.check_listed(find_types(exceptions.ChervilwingError), "`{}`")
 
-    def test_every_log_line_is_named(self):
+    def test_every_log_line_is_listed(self):
         self.assertIn("started", set(find_events()))
-        self.check_named(find_events(), "| `{}` |")
-        self.check_named(RequestLine._fields, "`{}`")
+        self.check_listed(find_events(), "| `{}` |")
+        self.check_listed(RequestLine._fields, "`{}`")
 
-    def test_every_command_and_exit_code_is_named(self):
+    def test_every_command_and_exit_code_is_listed(self):
         commands = [
             item.name or item.callback.__name__ for item in app.registered_commands
         ]
@@ -71,5 +71,5 @@
             for item in group.typer_instance.registered_commands:
                 commands.append(f"{group.name} {item.name or item.callback.__name__}")
         self.assertGreater(len(commands), 10)
-        self.check_named(commands, "`{}")
-        self.check_named(re.findall(r"(\d) ", EXIT_HELP), "| {} |")
+        self.check_listed(commands, "`{}")
+        self.check_listed(re.findall(r"(\d) ", EXIT_HELP), "| {} |")
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -1,4 +1,4 @@
-"""Tests of the layout: the core does no input or output."""
+"""Tests of the module layout: the core performs no input or output."""
 
 import ast
 import re
@@ -9,7 +9,7 @@
 
 SOURCE = Path(__file__).resolve().parent.parent / "src" / "chervilwing"
 
-# The modules that own sockets, files, processes' arguments or timers.
+# The modules that use sockets, files, command-line arguments or timers.
 EDGE = {
     "attempts",
     "buyer",
@@ -57,12 +57,12 @@
     "usage_reports",
     "web",
 }
-ALLOWED = {"__init__"}
-FORBIDDEN = {"circuits", "socket", "select", "os", "time", "threading", "typer"}
+ALLOWED_OVERRIDES = {"__init__"}
+IO_MODULES = {"circuits", "socket", "select", "os", "time", "threading", "typer"}
 
 
 def find_imports(path):
-    """Return the names of all modules that a file imports, ours without the package."""
+    """Return the modules that a file imports; chervilwing's without the package."""
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -75,36 +75,39 @@
 
 
 class TestStructure(unittest.TestCase):
-    def test_core_imports_nothing_that_does_io(self):
+    def test_core_imports_no_io_modules(self):
         for path in sorted(SOURCE.glob("*.py")):
             if path.stem in EDGE:
                 continue
             with self.subTest(module=path.stem):
-                self.assertEqual(find_imports(path) & (FORBIDDEN | EDGE), set())
+                self.assertEqual(find_imports(path) & (IO_MODULES | EDGE), set())
 
 
-# Names that only the users' platform gives to things: header fields, paths and body
-# fields. Decoded once, in the adapter; met anywhere else, the product would depend on
-# a platform that others don't have.
-PLATFORM_WORDS = re.compile(
+# Header fields, paths and body fields that only the users' platform defines. They are
+# decoded once, in the adapter; used anywhere else, they would tie the product to that
+# platform.
+PLATFORM_NAMES = re.compile(
     r"x-server|x-not-run|x-prompt|x-token|x-tenant|x-expect|x-deadline|x-duty|x-fence"
     r"|x-request-urgency|x-model|x-length-hint|kv-from|kv-range|kv-watch|kv-txn"
     r"|op/config|servers/|server-limit|canResume|gapTarget|sloMs|timeoutMs|noAuth|apiKeys|ratePerS"
     r"|leaves_ms|storeRevision|ifRev|waitMs|kvCapacity|bootTimeS|spotPrice|windowId",
     re.IGNORECASE,
 )
-# The stand-ins' own refusal of the product's first interface, older than the platform.
-OLDER = {"forwards": {"x-not-run"}}
+# Exceptions: the refusal header of the product's first interface, from before the
+# platform, which the stand-ins still send.
+PLATFORM_NAMES_ALLOWED = {"forwards": {"x-not-run"}}
 
 
-class TestPlatformFolder(unittest.TestCase):
-    def test_no_name_of_the_platform_stands_outside_its_folder(self):
+class TestPlatformAdapter(unittest.TestCase):
+    def test_platform_names_occur_only_in_the_adapter(self):
         for path in sorted(SOURCE.glob("*.py")):
-            found = {word.lower() for word in PLATFORM_WORDS.findall(path.read_text())}
+            found = {word.lower() for word in PLATFORM_NAMES.findall(path.read_text())}
             with self.subTest(module=path.stem):
-                self.assertEqual(found - OLDER.get(path.stem, set()), set())
+                self.assertEqual(
+                    found - PLATFORM_NAMES_ALLOWED.get(path.stem, set()), set()
+                )
 
-    def test_nothing_outside_imports_the_folder(self):
+    def test_no_module_imports_the_adapter(self):
         for path in sorted(SOURCE.glob("*.py")):
             with self.subTest(module=path.stem):
                 self.assertNotIn("chervilwing.platform", path.read_text())
@@ -112,8 +115,8 @@
                     path.read_text(), r"from \.platform|from \. import.*\bplatform\b"
                 )
 
-    def test_the_folder_only_translates(self):
-        # What decides, waits or keeps state belongs to the product.
+    def test_the_adapter_does_no_io(self):
+        # Code that makes decisions, waits or keeps state belongs outside the adapter.
         for path in sorted((SOURCE / "platform").glob("*.py")):
             with self.subTest(module=path.stem):
                 imports = find_imports(path)
@@ -121,26 +124,26 @@
                     imports & {"circuits", "socket", "select", "time"}, set()
                 )
 
-    def test_the_folder_stays_under_a_tenth_of_the_source(self):
+    def test_the_adapter_is_under_a_tenth_of_the_source(self):
         count = lambda paths: sum(len(path.read_text().splitlines()) for path in paths)
         folder = count((SOURCE / "platform").glob("*.py"))
         self.assertLess(folder * 10, folder + count(SOURCE.glob("*.py")))
 
 
 class TestComponents(unittest.TestCase):
-    def test_no_component_hides_a_name_of_circuits(self):
-        # The daemon dies at its first event with "object is not callable": a component
-        # kept its own things under a name, `_dispatcher` or `_flush`, that circuits'
+    def test_no_component_overrides_a_name_of_circuits(self):
+        # The daemon fails at its first event with "object is not callable" if a
+        # component uses a name such as `_dispatcher` or `_flush`, which circuits'
         # Manager looks up on every component.
-        taken = set(dir(Manager())) | set(vars(Manager()))
+        reserved = set(dir(Manager())) | set(vars(Manager()))
         for path in sorted(SOURCE.glob("*.py")):
             for name, names in find_component_names(path):
                 with self.subTest(component=name):
-                    self.assertEqual(names & taken - ALLOWED, set())
+                    self.assertEqual(names & reserved - ALLOWED_OVERRIDES, set())
 
 
 def find_component_names(path):
-    """Yield each component class and the private names that it sets or defines."""
+    """Yield each component class's name and the attributes that it defines or sets."""
     for node in ast.walk(ast.parse(path.read_text())):
         if not isinstance(node, ast.ClassDef):
             continue
