--- a/src/chervilwing/connections.py
+++ b/src/chervilwing/connections.py
@@ -48,7 +48,9 @@
 
 def find_outcome(exc):
     """Return the scheduler's outcome for a call that failed with ``exc``."""
-    return next(outcome for kind, outcome in FAILURE_OUTCOMES if isinstance(exc, kind))
+    return next(
+        outcome for exc_type, outcome in FAILURE_OUTCOMES if isinstance(exc, exc_type)
+    )
 
 
 class Call(NamedTuple):
@@ -92,7 +94,7 @@
 
 
 class CallState:
-    """State of one call; may be passed to ``Client.cancel`` more than once."""
+    """State of one call; ``over`` is set once it has ended or was cancelled."""
 
     __slots__ = (
         "call",
@@ -155,40 +157,43 @@
 
     def submit(self, call, handlers):
         """Start a call and return its state."""
-        exchange = CallState(call, handlers, time.monotonic())
-        self._active.add(exchange)
+        state = CallState(call, handlers, time.monotonic())
+        self._active.add(state)
         conn = self._pop_idle(call)
         if conn is None:
             conn = self._streams.dial(call.address)
-            conn.last_activity = exchange.last_activity
-        conn.state = exchange
+            conn.last_activity = state.last_activity
+        conn.state = state
         conn.sent = 0
-        exchange.conn = conn
+        state.conn = conn
         self._streams.send(conn, encode_call(call))
-        return exchange
+        return state
+
+    def cancel(self, state):
+        """Abort the call, close its connection and run none of its callbacks.
 
-    def cancel(self, exchange):
-        """Abort the call, close its connection and run none of its callbacks."""
-        if exchange.over:
+        Does nothing if the call is over.
+        """
+        if state.over:
             return
-        self._end(exchange)
-        self._streams.drop(exchange.conn)
+        self._end(state)
+        self._streams.drop(state.conn)
 
-    def pause(self, exchange):
+    def pause(self, state):
         """Stop reading the answer until ``resume``."""
         # The connection of a call that is over may carry another call by now.
-        if exchange.over:
+        if state.over:
             return
-        exchange.paused = True
-        self._streams.pause(exchange.conn)
+        state.paused = True
+        self._streams.pause(state.conn)
 
-    def resume(self, exchange):
+    def resume(self, state):
         """Continue to read a paused answer."""
-        if exchange.over or not exchange.paused:
+        if state.over or not state.paused:
             return
-        exchange.paused = False
-        exchange.last_activity = time.monotonic()
-        self._streams.resume(exchange.conn)
+        state.paused = False
+        state.last_activity = time.monotonic()
+        self._streams.resume(state.conn)
 
     def retire(self, address):
         """Close all idle connections to an address."""
@@ -220,22 +225,22 @@
         either; without a timeout the caller would wait forever.
         """
         now = time.monotonic()
-        for exchange in list(self._active):
-            if exchange.over or not self._is_silent(exchange, now):
+        for state in list(self._active):
+            if state.over or not self._is_silent(state, now):
                 continue
-            self.retire(exchange.call.address)
-            probe = self._probes.get(exchange.call.address)
-            no_probe = exchange.conn.connecting or not exchange.call.probed
-            if no_probe or exchange is probe:
-                self._fail(exchange, "No answer in time.", UpstreamSilent)
+            self.retire(state.call.address)
+            probe = self._probes.get(state.call.address)
+            no_probe = state.conn.connecting or not state.call.probed
+            if no_probe or state is probe:
+                self._fail(state, "No answer in time.", UpstreamSilent)
             elif probe is None:
-                self._probe(exchange.call, now)
+                self._probe(state.call, now)
 
-    def _is_silent(self, exchange, now):
-        call = exchange.call
-        connecting = exchange.conn.connecting
+    def _is_silent(self, state, now):
+        call = state.call
+        connecting = state.conn.connecting
         limit = call.connect_timeout if connecting else call.silence_timeout
-        return not exchange.paused and now - exchange.last_activity > limit
+        return not state.paused and now - state.last_activity > limit
 
     def _probe(self, call, now):
         """Test on a new connection whether the upstream or only the path is down."""
@@ -249,8 +254,10 @@
             done=lambda: end_calls(True),
             failed=lambda exc: end_calls(False),
         )
-        wait = call.connect_timeout
-        probe = Call(call.address, *PROBE_REQUEST, {}, b"", wait, wait, fresh=True)
+        timeout = call.connect_timeout
+        probe = Call(
+            call.address, *PROBE_REQUEST, {}, b"", timeout, timeout, fresh=True
+        )
         self._probes[call.address] = self.submit(probe, handlers)
 
     def _end_silent_calls(self, address, quiet_since, answered):
@@ -265,17 +272,15 @@
         """
         del self._probes[address]
         now = time.monotonic()
-        kind = PathSilent if answered else UpstreamSilent
-        for exchange in [item for item in self._active if item.call.address == address]:
+        exc_type = PathSilent if answered else UpstreamSilent
+        for state in [item for item in self._active if item.call.address == address]:
             # The callback for one failed call may have cancelled another call.
-            if exchange.over:
+            if state.over:
                 continue
-            stale = (
-                not exchange.call.fresh and exchange.conn.last_activity < quiet_since
-            )
-            dead = answered and stale and not exchange.paused
-            if dead or self._is_silent(exchange, now):
-                self._fail(exchange, "The connection has gone silent.", kind)
+            stale = not state.call.fresh and state.conn.last_activity < quiet_since
+            lost = answered and stale and not state.paused
+            if lost or self._is_silent(state, now):
+                self._fail(state, "The connection has gone silent.", exc_type)
 
     def _pop_idle(self, call):
         if call.fresh:
@@ -291,82 +296,82 @@
 
     def _opened(self, conn):
         conn.last_activity = time.monotonic()
-        exchange = conn.state
-        if exchange is None:
+        state = conn.state
+        if state is None:
             return
-        exchange.last_activity = conn.last_activity
+        state.last_activity = conn.last_activity
         # A process that was suspended while it connected would otherwise send an order
         # under a lease that has expired since the check before ``submit``.
-        if exchange.last_activity >= exchange.call.send_before:
-            self._fail(exchange, "The connection opened too late to send the request.")
+        if state.last_activity >= state.call.send_before:
+            self._fail(state, "The connection opened too late to send the request.")
 
     def _received(self, conn, data):
-        exchange = conn.state
-        if exchange is None:
+        state = conn.state
+        if state is None:
             self._streams.drop(conn)
             return
-        exchange.last_activity = conn.last_activity = time.monotonic()
+        state.last_activity = conn.last_activity = time.monotonic()
         try:
-            body = exchange.reader.feed(data)
+            body = state.reader.feed(data)
         except BadRequest as exc:
-            self._fail(exchange, str(exc))
+            self._fail(state, str(exc))
             return
         try:
-            self._deliver(exchange, body)
+            self._deliver(state, body)
         except Exception as exc:
             # A bug in a callback would leave the caller waiting forever; reported as a
             # failed call, the request still gets an answer.
             log_failure("answer handler", exc)
-            self._fail_unhandled(exchange)
+            self._fail_unhandled(state)
 
-    def _fail_unhandled(self, exchange):
-        if not exchange.over:
-            self._end(exchange)
-            self._streams.drop(exchange.conn)
-        exchange.handlers.failed(
+    def _fail_unhandled(self, state):
+        if not state.over:
+            self._end(state)
+            self._streams.drop(state.conn)
+        state.handlers.failed(
             UpstreamFailed("The answer was not handled: internal error.")
         )
 
-    def _deliver(self, exchange, body):
-        while self._is_for_earlier_call(exchange):
-            if not exchange.reader.complete:
+    def _deliver(self, state, body):
+        while self._is_for_earlier_call(state):
+            if not state.reader.complete:
                 return
-            body = self._read_next_answer(exchange)
-        if not exchange.head_delivered and exchange.reader.head is not None:
-            exchange.head_delivered = True
-            exchange.handlers.head(*exchange.reader.head)
-        if body and not exchange.over:
-            exchange.handlers.data(body)
-        if exchange.reader.complete and not exchange.over:
-            self._release(exchange)
-            exchange.handlers.done()
-
-    def _is_for_earlier_call(self, exchange):
+            body = self._read_next_answer(state)
+        if not state.head_delivered and state.reader.head is not None:
+            state.head_delivered = True
+            state.handlers.head(*state.reader.head)
+        if body and not state.over:
+            state.handlers.data(body)
+        if state.reader.complete and not state.over:
+            self._release(state)
+            state.handlers.done()
+
+    def _is_for_earlier_call(self, state):
         """Return whether the answer being read belongs to an earlier call.
 
         A faulty upstream may answer one request twice, the second time while the next
         call waits on this connection. Its caller would receive another's answer.
         """
-        head, expects = exchange.reader.head, exchange.call.expects
+        head, expects = state.reader.head, state.call.expects
         return head is not None and expects is not None and not expects(head)
 
-    def _read_next_answer(self, exchange):
-        rest = exchange.reader.rest
-        exchange.reader = ResponseReader(exchange.call.method)
-        return exchange.reader.feed(rest)
+    def _read_next_answer(self, state):
+        rest = state.reader.rest
+        state.reader = ResponseReader(state.call.method)
+        return state.reader.feed(rest)
 
-    def _release(self, exchange):
-        conn = exchange.conn
-        head = exchange.reader.head
+    def _release(self, state):
+        conn = state.conn
+        head = state.reader.head
         # The read that paused an answer may also have completed it. If the connection
         # stayed paused, the next call's answer would never be read.
-        self.resume(exchange)
-        self._end(exchange)
-        idle = self._idle[exchange.call.address]
+        self.resume(state)
+        self._end(state)
+        idle = self._idle[state.call.address]
         # An answer may arrive before the whole request was sent. The upstream would
         # take the next request's bytes for the rest of this request's body.
-        reusable = exchange.reader.reusable and not conn.pending
-        if reusable and len(idle) < exchange.call.idle_most:
+        reusable = state.reader.reusable and not conn.pending
+        if reusable and len(idle) < state.call.idle_most:
             conn.idle_limit = read_idle_limit(head.headers)
             idle.append(conn)
             return
@@ -376,25 +381,25 @@
         idle = self._idle.get(conn.address, [])
         if conn in idle:
             idle.remove(conn)
-        exchange = conn.state
-        if exchange is None or exchange.over:
+        state = conn.state
+        if state is None or state.over:
             return
-        ends_at_close = exchange.call.until_close and exchange.reader.endless
-        if exc is None and exchange.head_delivered and ends_at_close:
-            self._end(exchange)
-            exchange.handlers.done()
+        ends_at_close = state.call.until_close and state.reader.endless
+        if exc is None and state.head_delivered and ends_at_close:
+            self._end(state)
+            state.handlers.done()
             return
-        self._fail(exchange, "The connection broke off.", ConnectionBroken)
+        self._fail(state, "The connection broke off.", ConnectionBroken)
 
-    def _fail(self, exchange, detail, kind=UpstreamFailed):
-        conn = exchange.conn
+    def _fail(self, state, detail, exc_type=UpstreamFailed):
+        conn = state.conn
         # The request certainly did not run only if no byte of it was sent.
         outcome = UNKNOWN if conn.sent else NOT_RUN
-        self._end(exchange)
+        self._end(state)
         self._streams.drop(conn)
-        exchange.handlers.failed(kind(detail, outcome=outcome))
+        state.handlers.failed(exc_type(detail, outcome=outcome))
 
-    def _end(self, exchange):
-        exchange.over = True
-        exchange.conn.state = None
-        self._active.discard(exchange)
+    def _end(self, state):
+        state.over = True
+        state.conn.state = None
+        self._active.discard(state)
--- a/src/chervilwing/models.py
+++ b/src/chervilwing/models.py
@@ -14,7 +14,11 @@
 
 
 class Upstream(NamedTuple):
-    """One back-end process: a model engine or a plain service."""
+    """One back-end process: a model engine or a plain service.
+
+    ``slots`` is the number of requests that it runs at once. ``fenced`` engines reject
+    orders with an old fencing number.
+    """
 
     name: str
     kind: str
@@ -90,7 +94,11 @@
 
 
 class Customer(NamedTuple):
-    """A caller's organisation and its limits; ``key_hashes`` are SHA-256 digests."""
+    """A caller's organisation and its limits; ``key_hashes`` are SHA-256 digests.
+
+    ``weight`` is its relative share of a pool, ``queue_limit`` the number of requests
+    that may wait there, and ``allowed`` names its models and services, ``*`` for all.
+    """
 
     name: str
     key_hashes: tuple[str, ...] = ()
--- a/src/chervilwing/work.py
+++ b/src/chervilwing/work.py
@@ -9,11 +9,11 @@
 OK = "ok"
 FAILED = "failed"
 SILENT = "silent"
-PATH = "path"
-BUSY = "busy"
-EXHAUSTED = "exhausted"
-LEAVING = "leaving"
-CANCELLED = "cancelled"
+PATH = "path"  # silent on an old connection, but reachable on a new one
+BUSY = "busy"  # refused by the upstream, so not run
+EXHAUSTED = "exhausted"  # refused for want of a resource that other upstreams share
+LEAVING = "leaving"  # the upstream is about to go away
+CANCELLED = "cancelled"  # ended by this instance
 
 
 class Work(NamedTuple):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -29,7 +29,7 @@
 from tests.procs import HOST, Caller, call, poll
 from tests.upstreams import Loop, RawUpstream, send_load
 
-SILENCE = 0.3
+SILENCE_TIMEOUT = 0.3
 
 
 class CallRecorder:
@@ -39,7 +39,7 @@
         self.body = b""
         self.finished = False
         self.failure = None
-        self.exchange = None
+        self.state = None
         self.on_data = lambda: None
         self.handlers = CallHandlers(
             lambda status, headers: None, self.add_data, self.finish, self.fail
@@ -73,7 +73,7 @@
         """Start a call and return its recorder."""
         recorder = CallRecorder()
         call = Call(Address(HOST, port), "GET", path, {}, **options)
-        recorder.exchange = self.client.submit(call, recorder.handlers)
+        recorder.state = self.client.submit(call, recorder.handlers)
         return recorder
 
     def call(self, port, path="/", **options):
@@ -95,7 +95,7 @@
         upstream = self.start(lambda *call: seen.append(call) or answer_path(*call))
         recorder = self.call(upstream.port, send_before=time.monotonic())
         self.assertEqual((recorder.failure.outcome, seen), (NOT_RUN, []))
-        late = time.monotonic() + SILENCE * 100
+        late = time.monotonic() + SILENCE_TIMEOUT * 100
         self.assertEqual(self.call(upstream.port, send_before=late).body, b"/")
 
     def check_failure(self, recorder, kind, outcome):
@@ -104,13 +104,15 @@
 
     def test_a_connection_carries_one_call_at_a_time(self):
         upstream = self.start(answer_path)
-        for turn in range(3):
-            calls = [self.submit(upstream.port, f"/{turn}/{i}") for i in range(5)]
+        for round_number in range(3):
+            calls = [
+                self.submit(upstream.port, f"/{round_number}/{i}") for i in range(5)
+            ]
             self.loop.run_until(
                 lambda calls=calls: all(item.finished for item in calls)
             )
             for i, recorder in enumerate(calls):
-                self.assertEqual(recorder.body, b"/%d/%d" % (turn, i))
+                self.assertEqual(recorder.body, b"/%d/%d" % (round_number, i))
         self.assertEqual(len(upstream.conns), 5)
 
     def test_unexpected_bytes_close_the_connection(self):
@@ -139,7 +141,7 @@
         for i in range(5):
             dropped = self.submit(upstream.port, "/dropped")
             self.loop.run_until(lambda i=i: upstream.count("/dropped") == i + 1)
-            self.client.cancel(dropped.exchange)
+            self.client.cancel(dropped.state)
             self.assertEqual(self.call(upstream.port, f"/{i}").body, b"/%d" % i)
             self.assertEqual((dropped.body, dropped.finished), (b"", False))
 
@@ -159,12 +161,12 @@
         # on that connection would wait for an answer that is never read.
         upstream = self.start(answer_path)
         first = self.submit(upstream.port, "/first")
-        first.on_data = lambda: self.client.pause(first.exchange)
+        first.on_data = lambda: self.client.pause(first.state)
         self.loop.run_until(lambda: first.body)
         self.loop.run_until(lambda: first.finished)
         second = self.call(upstream.port, "/second", silence_timeout=2.0)
         self.assertEqual((second.body, second.failure), (b"/second", None))
-        self.client.pause(first.exchange)
+        self.client.pause(first.state)
         self.assertEqual(self.call(upstream.port, "/third").body, b"/third")
 
     def test_failed_calls_report_their_type_and_outcome(self):
@@ -190,7 +192,7 @@
             (never_answer, UpstreamSilent),
         ):
             upstream = self.start(script)
-            wait = SILENCE if kind is UpstreamSilent else 5.0
+            wait = SILENCE_TIMEOUT if kind is UpstreamSilent else 5.0
             recorder = self.call(upstream.port, silence_timeout=wait)
             self.check_failure(recorder, kind, UNKNOWN)
         port = upstream.port
@@ -209,7 +211,7 @@
         calls = [self.submit(upstream.port) for _ in range(4)]
         self.loop.run_until(lambda: all(item.finished for item in calls))
         silent.update(upstream.conns)
-        recorder = self.call(upstream.port, silence_timeout=SILENCE)
+        recorder = self.call(upstream.port, silence_timeout=SILENCE_TIMEOUT)
         # The probe on a fifth connection was answered, so the upstream itself is up.
         self.check_failure(recorder, PathSilent, UNKNOWN)
         self.assertEqual(self.call(upstream.port, "/new").body, b"/new")
@@ -236,7 +238,7 @@
         silent.update(upstream.conns)
         second = self.submit(upstream.port, silence_timeout=60.0)
         note = self.submit(upstream.port, "/note", silence_timeout=60.0, fresh=True)
-        first = self.submit(upstream.port, silence_timeout=SILENCE)
+        first = self.submit(upstream.port, silence_timeout=SILENCE_TIMEOUT)
         self.loop.run_until(lambda: first.finished and second.finished)
         self.check_failure(first, PathSilent, UNKNOWN)
         self.check_failure(second, PathSilent, UNKNOWN)
@@ -250,10 +252,12 @@
         # keep waiting, and the failure doesn't suggest a new connection.
         upstream = self.start(lambda conn, *call: conn.recv(1))
         second = self.submit(upstream.port, silence_timeout=60.0)
-        first = self.call(upstream.port, silence_timeout=SILENCE, connect_timeout=0.2)
+        first = self.call(
+            upstream.port, silence_timeout=SILENCE_TIMEOUT, connect_timeout=0.2
+        )
         self.check_failure(first, UpstreamSilent, UNKNOWN)
         self.assertFalse(second.finished)
-        self.client.cancel(second.exchange)
+        self.client.cancel(second.state)
 
 
 class TestEngines(unittest.TestCase):
--- a/tests/weakened.py
+++ b/tests/weakened.py
@@ -307,8 +307,8 @@
 NO_PROBE = (
     Edit(
         "connections",
-        "self._probe(exchange.call, now)",
-        'self._fail(exchange, "Silent.", UpstreamSilent)',
+        "self._probe(state.call, now)",
+        'self._fail(state, "Silent.", UpstreamSilent)',
     ),
 )
 NO_RETRY = (
