--- a/src/chervilwing/exceptions.py
+++ b/src/chervilwing/exceptions.py
@@ -55,7 +55,7 @@
 
 
 class WrongOperatorKey(ChervilwingError):
-    """The request doesn't carry the operators' key."""
+    """The request doesn't contain the operators' key."""
 
     status, type, title = 401, "wrong-operator-key", "Operators' key needed"
     outcome = NOT_RUN
@@ -195,7 +195,7 @@
 
 
 class Unreachable(ChervilwingError):
-    """An entry instance or another service of the operators' tool doesn't answer."""
+    """An instance or service that the operators' tool calls doesn't answer."""
 
     status, type, title = 504, "unreachable", "No answer"
 
--- a/src/chervilwing/reports.py
+++ b/src/chervilwing/reports.py
@@ -21,14 +21,16 @@
 )
 
 
-def escape(text):
+def escape_label_value(text):
     """Return a label value escaped for the text exposition format."""
     return text.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
 def _make_labels(series, **extra):
     labels = {"customer": series.customer, "class": series.work_class, **extra}
-    return ",".join(f'{name}="{escape(value)}"' for name, value in labels.items())
+    return ",".join(
+        f'{name}="{escape_label_value(value)}"' for name, value in labels.items()
+    )
 
 
 def render_metrics(stats):
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -125,9 +125,11 @@
                 )
 
     def test_the_adapter_is_under_a_tenth_of_the_source(self):
-        count = lambda paths: sum(len(path.read_text().splitlines()) for path in paths)
-        folder = count((SOURCE / "platform").glob("*.py"))
-        self.assertLess(folder * 10, folder + count(SOURCE.glob("*.py")))
+        count_lines = lambda paths: sum(
+            len(path.read_text().splitlines()) for path in paths
+        )
+        adapter = count_lines((SOURCE / "platform").glob("*.py"))
+        self.assertLess(adapter * 10, adapter + count_lines(SOURCE.glob("*.py")))
 
 
 class TestComponents(unittest.TestCase):
