--- a/src/chervilwing/credit.py
+++ b/src/chervilwing/credit.py
@@ -1,69 +1,69 @@
-"""Credit that instances pass each other: what one gives back, and what it is granted.
+"""Credit that instances pass to each other: what a child returns and a parent grants.
 
-Two instances that pass credit have a *session*: the one that asks is the child, the one
-that grants the parent. Both directions are totals since the session began, so that a
-datagram that is lost, comes twice or overtakes another one neither makes nor doubles
-credit; what is under way when a session ends is lost. All amounts are whole units of
-cost.
+Two instances that pass credit have a *session*: the child claims, the parent grants.
+Both directions carry totals since the session began, so that a datagram that is lost,
+duplicated or reordered creates no credit and counts none twice. Credit in transit when
+a session ends is lost. All amounts are whole units of cost.
 """
 
 from typing import NamedTuple
 
 
 class Entry(NamedTuple):
-    """What a child says of one organisation.
+    """A child's figures for one allowance.
 
-    ``returned`` is all that it gave back since the session began, ``granted`` all that
-    it was granted as far as it knows, ``balance`` what it and its own children hold
-    now, ``wanted`` what it could use beside that, and ``least`` what is needed for the
-    smallest request that waits, 0 where none does.
+    ``returned`` and ``granted`` are the totals that the child has returned and received
+    since the session began. ``balance`` is what it and its own children hold now,
+    ``wanted`` what it could use in addition, and ``minimum`` what the smallest waiting
+    request needs, 0 where none waits.
     """
 
     returned: int
     granted: int
     balance: int
     wanted: int
-    least: int
+    minimum: int
 
 
 class Claim(NamedTuple):
-    """A child's word to its parent; ``number`` grows with each of one session.
+    """A child's claim to its parent; ``number`` grows with each claim of a session.
 
-    ``parent`` is the incarnation of the parent that answered first, 0 before it did.
-    ``parts`` counts the instances for whom the child speaks, itself included.
+    ``parent`` is the incarnation of the parent that answered first, 0 until it has.
+    ``instances`` counts the instances in the child's subtree, itself included.
     """
 
     name: str
     session: int
     number: int
     parent: int
-    parts: int
+    instances: int
     entries: dict[str, Entry]
 
 
 class Grant(NamedTuple):
-    """A parent's answer: totals granted since the session began, by organisation.
+    """A parent's answer: totals granted since the session began, by allowance.
 
-    ``known`` is false where the parent doesn't know the session; it has to begin anew.
+    ``session_known`` is false where the parent doesn't know the session, which must
+    start anew.
     """
 
     session: int
     parent: int
-    known: bool
+    session_known: bool
     totals: dict[str, int]
 
 
-NOTHING = Entry(0, 0, 0, 0, 0)
+NO_CREDIT = Entry(0, 0, 0, 0, 0)
 
 
-def read_claim(name, session, number, parent, parts, entries):
-    """Return the Claim that came in a datagram."""
+def read_claim(name, session, number, parent, instances, entries):
+    """Return the Claim decoded from a datagram."""
     entries = {key: Entry(*entry) for key, entry in entries.items()}
-    return Claim(name, session, number, parent, parts, entries)
+    return Claim(name, session, number, parent, instances, entries)
 
 
-class CreditSession:
-    """A child's side of a session."""
+class ParentSession:
+    """A child's state of a session with its parent."""
 
     def __init__(self, parent, number):
         self.parent = parent
@@ -74,56 +74,64 @@
         self.granted = {}
 
     def receive(self, grant):
-        """Take an answer and return what it grants that is new, by organisation.
+        """Apply a grant and return the newly granted amounts by allowance.
 
-        Guard: a parent that started again knows nothing of what it granted before; its
-        totals begin at nothing and mustn't be compared with those of the one before.
+        A parent that restarted doesn't know its earlier grants. Its totals start at
+        zero and must not be compared with those of the previous process, so they are
+        ignored.
         """
         if not self.incarnation:
             self.incarnation = grant.parent
         if grant.parent != self.incarnation:
             return {}
-        gained = {}
+        granted = {}
         for name, total in grant.totals.items():
             if total > self.granted.get(name, 0):
-                gained[name] = total - self.granted.get(name, 0)
+                granted[name] = total - self.granted.get(name, 0)
                 self.granted[name] = total
-        return gained
+        return granted
 
 
-class Child:
-    """A parent's side of a session; ``heard_at`` is when the last claim came."""
+class ChildSession:
+    """A parent's state of a session with a child; ``last_claim_at`` is in seconds."""
 
     def __init__(self, session):
         self.session = session
         self.number = 0
-        self.parts = 1
-        self.heard_at = 0.0
+        self.instances = 1
+        self.last_claim_at = 0.0
         self.granted = {}
         self.entries = {}
 
     def receive(self, claim, now):
-        """Take a claim and return what it gives back that is new, by organisation."""
-        self.number, self.parts, self.heard_at = claim.number, claim.parts, now
-        gained = {}
+        """Apply a claim and return the newly returned amounts by allowance."""
+        self.number, self.instances, self.last_claim_at = (
+            claim.number,
+            claim.instances,
+            now,
+        )
+        returned = {}
         for name, entry in claim.entries.items():
-            before = self.entries.get(name, NOTHING).returned
+            before = self.entries.get(name, NO_CREDIT).returned
             if entry.returned > before:
-                gained[name] = entry.returned - before
+                returned[name] = entry.returned - before
             self.entries[name] = entry
-        return gained
+        return returned
 
-    def measure_held(self, name):
-        """Return what the child holds of an organisation's credit, or soon will."""
-        entry = self.entries.get(name, NOTHING)
+    def compute_held(self, name):
+        """Return the credit that the child holds, grants in transit included."""
+        entry = self.entries.get(name, NO_CREDIT)
         return entry.balance + self.granted.get(name, 0) - entry.granted
 
-    def measure_wanted(self, name):
-        """Return what the child wants and wasn't granted yet, and the least of use."""
-        entry = self.entries.get(name, NOTHING)
-        under_way = self.granted.get(name, 0) - entry.granted
-        return max(0, entry.wanted - under_way), max(0, entry.least - under_way)
+    def compute_wanted(self, name):
+        """Return the credit that the child wants and the smallest useful part of it.
+
+        Both exclude grants that are still in transit to the child.
+        """
+        entry = self.entries.get(name, NO_CREDIT)
+        in_transit = self.granted.get(name, 0) - entry.granted
+        return max(0, entry.wanted - in_transit), max(0, entry.minimum - in_transit)
 
     def grant(self, name, amount):
-        """Add to what the child was granted."""
+        """Add an amount to the child's total."""
         self.granted[name] = self.granted.get(name, 0) + amount
--- a/src/chervilwing/delegation.py
+++ b/src/chervilwing/delegation.py
@@ -1,24 +1,24 @@
-"""Claims and grants of credit between instances, as single datagrams."""
+"""Claims and grants of credit between instances, by single datagrams."""
 
 from circuits.core import BaseComponent, handler
 
-from .allowances import CLAIM_EVERY
+from .allowances import CLAIM_INTERVAL
 from .clocks import read_boottime
 from .credit import Grant, read_claim
 from .fanout import rank
 from .logs import log_event
-from .parents import CLAIM_AGAIN, ParentChoice
+from .parents import CLAIM_RETRY_INTERVAL, ParentChoice
 
 # Kinds of datagrams.
 CLAIM = 3
 GRANT = 4
 PROBE = 5
-PROBED = 6
-# Seconds between two claims at least, when requests wait for credit. Load: a customer
-# far over its limit. Harm: each of its requests would be two datagrams.
-ASK_GAP = 0.02
-# Seconds between two claims while requests wait: a datagram may be lost.
-ASK_AGAIN = 0.05
+PROBE_ANSWER = 6
+# Minimum seconds between two claims, when requests wait for credit: each request of a
+# customer far over its limit would otherwise cause two datagrams.
+MIN_CLAIM_INTERVAL = 0.02
+# Seconds between two claims while requests wait, as a datagram may be lost.
+WAITING_CLAIM_INTERVAL = 0.05
 
 
 class Delegation(BaseComponent):
@@ -36,15 +36,15 @@
         self._allowances = gateway.allowances
         self._limits = gateway.upstream_limits
         self._choice = ParentChoice()
-        self._near, self._far = [], []
-        self._ranked = None
+        self._group_names, self._all_names = [], []
+        self._peers_version = None
         self._claimed_at = float("-inf")
-        self._lacking = False
-        gateway.on_lacking = self._ask
-        datagrams.subscribe(CLAIM, self._hear_claim)
-        datagrams.subscribe(GRANT, self._hear_grant)
-        datagrams.subscribe(PROBE, self._hear_probe)
-        datagrams.subscribe(PROBED, self._hear_probed)
+        self._lacks_credit = False
+        gateway.on_lacking = self._claim_soon
+        datagrams.subscribe(CLAIM, self._receive_claim)
+        datagrams.subscribe(GRANT, self._receive_grant)
+        datagrams.subscribe(PROBE, self._receive_probe)
+        datagrams.subscribe(PROBE_ANSWER, self._receive_probe_answer)
 
     @handler("tick", channel="*")
     def _on_tick(self):
@@ -53,39 +53,39 @@
         self._limits.expire(self._gateway.registry.members, now)
         self._rank()
         before = self._choice.parent
-        parent = self._choice.choose(self._near, self._far, now)
+        parent = self._choice.choose(self._group_names, self._all_names, now)
         if parent != before:
             log_event("credit parent", parent=parent or "", was=before or "")
-        for name in self._choice.list_probes(self._near, self._far, now):
+        for name in self._choice.list_probes(self._group_names, self._all_names, now):
             self._send(name, PROBE, (self._name,))
         self._grant_waiting()
-        if now - self._claimed_at >= self._find_gap():
+        if now - self._claimed_at >= self._choose_interval():
             self._claim(now)
 
     def _rank(self):
-        """Rank the instances that come before this one, when some came or went."""
-        if self._ranked == self._coordinator.peers_version:
+        """Rank the instances before this one again after some have joined or left."""
+        if self._peers_version == self._coordinator.peers_version:
             return
-        self._ranked = self._coordinator.peers_version
+        self._peers_version = self._coordinator.peers_version
         group = set(self._neighbours.list_group())
         names = [self._name, *self._coordinator.peers]
         names = rank(names, self._coordinator.list_links())
-        self._far = names[: names.index(self._name)]
-        self._near = [name for name in self._far if name in group]
+        self._all_names = names[: names.index(self._name)]
+        self._group_names = [name for name in self._all_names if name in group]
 
-    def _find_gap(self):
+    def _choose_interval(self):
         """Return the seconds to leave between two claims."""
-        if self._lacking:
-            return ASK_GAP
+        if self._lacks_credit:
+            return MIN_CLAIM_INTERVAL
         if self._allowances.waiting:
-            return ASK_AGAIN
-        return CLAIM_AGAIN if self._choice.waits else CLAIM_EVERY
+            return WAITING_CLAIM_INTERVAL
+        return CLAIM_RETRY_INTERVAL if self._choice.awaits_answer else CLAIM_INTERVAL
 
-    def _ask(self):
-        """Claim at once, unless that was just done."""
-        self._lacking = True
+    def _claim_soon(self):
+        """Claim at once, or once MIN_CLAIM_INTERVAL has passed since the last claim."""
+        self._lacks_credit = True
         now = read_boottime()
-        if now - self._claimed_at >= ASK_GAP:
+        if now - self._claimed_at >= MIN_CLAIM_INTERVAL:
             self._claim(now)
 
     def _claim(self, now):
@@ -93,8 +93,8 @@
         if parent is None:
             return
         self._claimed_at = now
-        self._lacking = False
-        self._choice.note_claim(now)
+        self._lacks_credit = False
+        self._choice.record_claim(now)
         claim = self._allowances.claim(parent, now)
         self._send(parent, CLAIM, (self._limits.list_told(now), *claim))
 
@@ -103,35 +103,35 @@
         if peer is not None:
             self._datagrams.send(kind, fields, peer.address)
 
-    def _hear_probe(self, address, name):
-        self._datagrams.send(PROBED, (self._name,), address)
+    def _receive_probe(self, address, name):
+        self._datagrams.send(PROBE_ANSWER, (self._name,), address)
 
-    def _hear_probed(self, address, name):
-        self._choice.note_answer(name, read_boottime())
+    def _receive_probe_answer(self, address, name):
+        self._choice.record_answer(name, read_boottime())
 
-    def _hear_claim(self, address, limits, *fields):
+    def _receive_claim(self, address, limits, *fields):
         now = read_boottime()
         self._limits.hear(limits, now)
         grant = self._allowances.receive_claim(read_claim(*fields), now)
-        self._datagrams.send(GRANT, self._describe(grant, now), address)
-        if self._allowances.short:
-            self._ask()
+        self._datagrams.send(GRANT, self._encode_grant(grant, now), address)
+        if self._allowances.lacks_credit:
+            self._claim_soon()
 
-    def _describe(self, grant, now):
+    def _encode_grant(self, grant, now):
         """Return the fields of a grant's datagram."""
         return (self._name, self._limits.list_told(now), *grant)
 
-    def _hear_grant(self, address, name, limits, *fields):
+    def _receive_grant(self, address, name, limits, *fields):
         now = read_boottime()
         self._limits.hear(limits, now)
-        self._choice.note_answer(name, now)
+        self._choice.record_answer(name, now)
         if not self._allowances.receive_grant(Grant(*fields), now):
             return
         self._grant_waiting()
         self._gateway.resume_waiting(now)
 
     def _grant_waiting(self):
-        """Grant what children still lack from credit that has come meanwhile."""
+        """Grant newly available credit to children that still lack it."""
         now = read_boottime()
         for name, grant in self._allowances.grant_waiting().items():
-            self._send(name, GRANT, self._describe(grant, now))
+            self._send(name, GRANT, self._encode_grant(grant, now))
--- a/src/chervilwing/parents.py
+++ b/src/chervilwing/parents.py
@@ -1,25 +1,26 @@
-"""Whom an instance asks for credit: the first in rank that is known to answer.
+"""An instance's choice of the parent from which it claims credit.
 
-Instances of one group ask the first of the group, and the first ones of all groups the
-first of these. Everybody finds them alone, by who answers; two that disagree for a
-moment pass each other less credit and nothing else.
+Instances of a group claim from the first of the group, and the first ones of the groups
+from the first of all. Each instance finds its parent alone, from the answers that it
+gets; two that disagree for a moment pass each other less credit, with no other effect.
 """
 
-# Seconds between two claims to a parent that didn't answer the last one, and after
-# which it is left. Load: the first of all instances is lost while customers use half of
-# their limits. Harm: whoever waits for it has no more than comes into being at itself.
-CLAIM_AGAIN = 0.1
-SILENT_FOR = 0.35
+# Seconds between two claims to a parent that hasn't answered the last one, and seconds
+# of silence after which another parent is chosen. If the first of all instances is lost
+# while customers use half of their limits, an instance that waits for it has only its
+# own accrual.
+CLAIM_RETRY_INTERVAL = 0.1
+PARENT_TIMEOUT = 0.35
 # Seconds for which an answer to a probe counts, and between two probes of one instance.
-KNOWN_FOR = 1.5
-PROBE_EVERY = 1.0
-# Probes at a time of one that has no parent; those that it probed longest ago are
-# first. Load: a third of two hundred instances is cut off. Harm: one after the other
-# each of those that come first would take as long as the first to be passed over.
-PROBES = 4
-# Seconds between two probes of one that has a parent: better ones that are lost may
-# return late, and hundreds would probe them all the while.
-PROBE_GAP = 0.2
+PROBE_ANSWER_LIFETIME = 1.5
+PROBE_INTERVAL = 1.0
+# Probes that an instance without a parent sends at a time, longest unprobed instances
+# first. If a third of two hundred instances is cut off, probing them one after the
+# other would take too long.
+MAX_PROBES = 4
+# Seconds between two probes of an instance that has a parent: a better one that was
+# lost need not be found soon, and hundreds of instances would all probe it meanwhile.
+PROBE_INTERVAL_WITH_PARENT = 0.2
 
 
 class ParentChoice:
@@ -31,49 +32,60 @@
         self._probed = {}
         self._probed_at = float("-inf")
         # When the parent was sent the first claim that it hasn't answered, or None.
-        self._asked_at = None
+        self._unanswered_since = None
 
-    def choose(self, near, far, now):
-        """Return the parent: the group's first before this one, or the first of all."""
-        if self._asked_at is not None and now - self._asked_at > SILENT_FOR:
+    def choose(self, group_names, all_names, now):
+        """Return the first instance that answers, or None where none does.
+
+        The instances before this one are ranked in ``group_names`` and ``all_names``;
+        those of its group come first.
+        """
+        if (
+            self._unanswered_since is not None
+            and now - self._unanswered_since > PARENT_TIMEOUT
+        ):
             self._answered.pop(self.parent, None)
             self._probed[self.parent] = now
-        heard = {name for name in self._answered if self._is_heard(name, now)}
-        found = next((name for name in (*near, *far) if name in heard), None)
+        alive = {name for name in self._answered if self._is_alive(name, now)}
+        found = next(
+            (name for name in (*group_names, *all_names) if name in alive), None
+        )
         if found != self.parent:
-            self.parent, self._asked_at = found, None
+            self.parent, self._unanswered_since = found, None
         return found
 
-    def list_probes(self, near, far, now):
-        """Return whom to probe: those that would be better parents."""
-        names = list(dict.fromkeys((*near, *far)))
-        most = PROBES
+    def list_probes(self, group_names, all_names, now):
+        """Return the names of instances to probe, which would be better parents."""
+        names = list(dict.fromkeys((*group_names, *all_names)))
+        limit = MAX_PROBES
         if self.parent in names:
             names = names[: names.index(self.parent)]
-            most = 1 if now - self._probed_at >= PROBE_GAP else 0
+            limit = 1 if now - self._probed_at >= PROBE_INTERVAL_WITH_PARENT else 0
         since = {name: self._probed.get(name, float("-inf")) for name in names}
-        due = [name for name in names if now - since[name] >= PROBE_EVERY]
-        chosen = sorted(due, key=since.get)[:most]
+        due = [name for name in names if now - since[name] >= PROBE_INTERVAL]
+        chosen = sorted(due, key=since.get)[:limit]
         if chosen:
             self._probed_at = now
             self._probed.update((name, now) for name in chosen)
         return chosen
 
-    def note_claim(self, now):
-        """Take note that the parent is sent a claim."""
-        if self._asked_at is None:
-            self._asked_at = now
+    def record_claim(self, now):
+        """Record that a claim is sent to the parent."""
+        if self._unanswered_since is None:
+            self._unanswered_since = now
 
-    def note_answer(self, name, now):
-        """Take note that an instance answered a claim or a probe."""
+    def record_answer(self, name, now):
+        """Record that an instance answered a claim or a probe."""
         self._answered[name] = now
         if name == self.parent:
-            self._asked_at = None
+            self._unanswered_since = None
 
     @property
-    def waits(self):
-        """Tell whether the parent has yet to answer."""
-        return self._asked_at is not None
+    def awaits_answer(self):
+        """Return whether a claim to the parent has not been answered yet."""
+        return self._unanswered_since is not None
 
-    def _is_heard(self, name, now):
-        return name == self.parent or now - self._answered[name] <= KNOWN_FOR
+    def _is_alive(self, name, now):
+        return (
+            name == self.parent or now - self._answered[name] <= PROBE_ANSWER_LIFETIME
+        )
--- a/tests/test_parents.py
+++ b/tests/test_parents.py
@@ -1,16 +1,16 @@
-"""Whom an instance asks for credit: losses, returns, a third that is cut off."""
+"""Choice of the parent to claim credit from: losses, returns, partitions."""
 
 import unittest
 
-from chervilwing.parents import PROBE_EVERY, SILENT_FOR, ParentChoice
+from chervilwing.parents import PARENT_TIMEOUT, PROBE_INTERVAL, ParentChoice
 
-NEAR = ["near-1", "near-2"]
-FAR = ["far-1", "near-1", "far-2", "near-2"]
+GROUP = ["group-1", "group-2"]
+ALL = ["other-1", "group-1", "other-2", "group-2"]
 STEP = 0.05
 
 
-class Others:
-    """Other instances, some of which answer."""
+class Peers:
+    """Simulated other instances, some of which answer."""
 
     def __init__(self, answering):
         self.choice = ParentChoice()
@@ -18,69 +18,71 @@
         self.now = 0.0
         self.probes = 0
 
-    def run(self, seconds, near=NEAR, far=FAR):
-        """Let time pass; return whom the instance asks then."""
+    def run(self, seconds, group_names=GROUP, all_names=ALL):
+        """Advance the clock; return the parent chosen by then."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP
-            parent = self.choice.choose(near, far, self.now)
+            parent = self.choice.choose(group_names, all_names, self.now)
             if parent is not None:
-                self.choice.note_claim(self.now)
+                self.choice.record_claim(self.now)
                 self._answer(parent)
-            for name in self.choice.list_probes(near, far, self.now):
+            for name in self.choice.list_probes(group_names, all_names, self.now):
                 self.probes += 1
                 self._answer(name)
         return self.choice.parent
 
     def _answer(self, name):
         if name in self.answering:
-            self.choice.note_answer(name, self.now)
+            self.choice.record_answer(name, self.now)
 
 
 class TestParentChoice(unittest.TestCase):
-    def test_the_first_of_the_own_group_is_asked(self):
-        self.assertEqual(Others(FAR).run(1.0), "near-1")
-
-    def test_the_first_of_a_group_asks_the_first_of_all(self):
-        self.assertEqual(Others(FAR).run(1.0, near=[]), "far-1")
-
-    def test_the_first_of_all_asks_nobody(self):
-        others = Others(FAR)
-        self.assertIsNone(others.run(1.0, near=[], far=[]))
-        self.assertEqual(others.probes, 0)
-
-    def test_a_lost_one_is_left_soon(self):
-        # The parent dies while requests wait for credit. Asked on, it would leave its
-        # children with no more than their own parts.
-        others = Others(FAR)
-        others.run(1.0)
-        others.answering.remove("near-1")
-        self.assertEqual(others.run(SILENT_FOR + 4 * STEP), "near-2")
-
-    def test_one_that_returns_is_asked_again_and_the_other_until_then(self):
-        # A better one may be back or not; left for it before it answers, the one that
-        # works would be missed for a third of a second every few seconds.
-        others = Others(["near-2", *FAR])
-        others.answering.remove("near-1")
-        others.run(2.0)
-        parents = {others.run(STEP) for _ in range(60)}
-        self.assertEqual(parents, {"near-2"})
-        others.answering.add("near-1")
-        self.assertEqual(others.run(PROBE_EVERY + 2 * STEP), "near-1")
-
-    def test_many_lost_ones_are_passed_over_together(self):
-        # Half of two hundred are cut off. Tried one after the other, each for a third
-        # of a second, the first that answers would be found after half a minute.
+    def test_first_of_the_own_group_is_the_parent(self):
+        self.assertEqual(Peers(ALL).run(1.0), "group-1")
+
+    def test_first_of_a_group_claims_from_the_first_of_all(self):
+        self.assertEqual(Peers(ALL).run(1.0, group_names=[]), "other-1")
+
+    def test_first_of_all_has_no_parent(self):
+        peers = Peers(ALL)
+        self.assertIsNone(peers.run(1.0, group_names=[], all_names=[]))
+        self.assertEqual(peers.probes, 0)
+
+    def test_lost_parent_is_replaced_soon(self):
+        # The parent dies while requests wait for credit. Without another parent, its
+        # children would have only their own shares.
+        peers = Peers(ALL)
+        peers.run(1.0)
+        peers.answering.remove("group-1")
+        self.assertEqual(peers.run(PARENT_TIMEOUT + 4 * STEP), "group-2")
+
+    def test_better_parent_is_chosen_once_it_answers_a_probe(self):
+        # A better parent may be back or not. If the instance claimed from it before it
+        # answers a probe, it would lack credit for a third of a second every few
+        # seconds.
+        peers = Peers(["group-2", *ALL])
+        peers.answering.remove("group-1")
+        peers.run(2.0)
+        parents = {peers.run(STEP) for _ in range(60)}
+        self.assertEqual(parents, {"group-2"})
+        peers.answering.add("group-1")
+        self.assertEqual(peers.run(PROBE_INTERVAL + 2 * STEP), "group-1")
+
+    def test_many_lost_instances_are_probed_together(self):
+        # Half of two hundred instances are cut off. Tried one after the other, each for
+        # a third of a second, the first that answers would be found after half a
+        # minute.
         names = [f"n{number}" for number in range(200)]
-        others = Others(names[100:])
-        self.assertEqual(others.run(2.0, near=[], far=names), "n100")
-
-    def test_nobody_is_probed_at_in_calm(self):
-        others = Others(FAR)
-        others.run(1.0)
-        before = others.probes
-        others.run(10.0)
-        self.assertEqual(others.probes, before)
+        peers = Peers(names[100:])
+        self.assertEqual(peers.run(2.0, group_names=[], all_names=names), "n100")
+
+    def test_no_probes_while_the_parent_answers(self):
+        peers = Peers(ALL)
+        peers.run(1.0)
+        before = peers.probes
+        peers.run(10.0)
+        self.assertEqual(peers.probes, before)
 
 
 if __name__ == "__main__":
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -59,8 +59,8 @@
         (
             Edit(
                 "allowances",
-                "gained = holding.rate * passed / self._known",
-                "gained = holding.rate * passed",
+                "accrued = bucket.rate * elapsed / self._instance_count",
+                "accrued = bucket.rate * elapsed",
             ),
         ),
         (LIMITED_MODEL + "a_limit_is_held_and_used_by_few_instances",),
@@ -297,23 +297,23 @@
         (FANOUT + "an_answer_to_an_older_question_proves_nothing",),
     ),
     Weakness(
-        "what is given back counts at each word",
+        "returned totals count again with each claim",
         (Edit("credit", "= entry.returned - before", "= entry.returned"),),
-        (CREDIT + "what_comes_twice_or_late_or_never_makes_no_credit",),
+        (CREDIT + "lost_duplicated_or_late_messages_create_no_credit",),
     ),
     Weakness(
-        "what is granted counts at each word",
+        "granted totals count again with each grant",
         (
             Edit(
                 "credit",
-                "gained[name] = total - self.granted.get(name, 0)",
-                "gained[name] = total",
+                "granted[name] = total - self.granted.get(name, 0)",
+                "granted[name] = total",
             ),
         ),
-        (CREDIT + "what_is_granted_adds_up_once",),
+        (CREDIT + "granted_totals_count_once",),
     ),
     Weakness(
-        "a parent that started again takes old credit for new",
+        "a restarted parent counts old credit as new",
         (
             Edit("allowances", "claim.parent not in (0, self._incarnation)", "False"),
             Edit(
@@ -322,10 +322,10 @@
                 "            if False:\n",
             ),
         ),
-        (CREDIT + "a_parent_that_started_again_counts_nothing_twice",),
+        (CREDIT + "restarted_parent_counts_no_credit_twice",),
     ),
     Weakness(
-        "one that was forgotten brings back old credit",
+        "a forgotten child brings back old credit",
         (
             Edit(
                 "allowances",
@@ -333,50 +333,55 @@
                 "            if False:\n",
             ),
         ),
-        (CREDIT + "one_that_was_forgotten_brings_back_nothing_old",),
+        (CREDIT + "forgotten_child_brings_back_no_old_credit",),
     ),
     Weakness(
-        "one that is cut off keeps the whole burst",
-        (Edit("allowances", "            if alone:\n", "            if False:\n"),),
+        "an instance without a parent keeps the whole burst",
         (
-            PARTITIONS + "many_that_are_cut_off_together_spend_no_burst_each",
-            PARTITIONS + "a_parent_that_is_cut_off_gives_up_what_it_held_for_others",
+            Edit(
+                "allowances", "            if parentless:\n", "            if False:\n"
+            ),
+        ),
+        (
+            PARTITIONS + "cut_off_instances_share_one_burst",
+            PARTITIONS + "cut_off_parent_drops_the_credit_of_others",
         ),
     ),
     Weakness(
-        "one that starts takes the whole rate",
+        "a starting instance accrues the whole rate",
         (
-            Edit("allowances", "self._known = 0", "self._known = 1"),
-            Edit("allowances", "self._at = started_at", "self._at = started_at or 0.0"),
+            Edit("allowances", "self._instance_count = 0", "self._instance_count = 1"),
+            Edit(
+                "allowances",
+                "self._advanced_at = started_at",
+                "self._advanced_at = started_at or 0.0",
+            ),
         ),
         (
             "tests.test_allowances.TestOneInstance"
-            ".test_one_that_starts_takes_nothing_before_it_knows_the_others",
+            ".test_no_credit_accrues_before_the_instance_count_is_known",
         ),
     ),
     Weakness(
-        "a part of the system spends the whole rate",
-        (Edit("allowances", "passed / self._known", "passed"),),
+        "one side of a partition spends the whole rate",
+        (Edit("allowances", "elapsed / self._instance_count", "elapsed"),),
         (
-            PARTITIONS + "an_instance_that_hears_nobody_keeps_to_its_part",
-            MODEL + "a_third_is_cut_off_while_a_customer_is_loud_at_any_size",
+            PARTITIONS + "instance_without_parent_spends_only_its_share",
+            MODEL + "bound_holds_at_any_size_while_a_third_is_cut_off",
         ),
     ),
     Weakness(
-        "what is under way counts in the burst",
+        "credit in transit counts towards the burst",
         (Edit("allowances", "UNDER_WAY if self._children else 0.0", "0.0"),),
         (
-            "tests.test_allowances_model.TestOwed"
+            "tests.test_allowances_model.TestServedLoad"
             ".test_requests_nearly_as_large_as_the_burst_are_served",
         ),
     ),
     Weakness(
-        "what did not run comes back however late",
-        (Edit("allowances", " and seconds_ago <= REFUND_FOR", ""),),
-        (
-            "tests.test_allowances.TestOneInstance"
-            ".test_what_did_not_run_for_long_is_not_given_back",
-        ),
+        "a request is refunded however late",
+        (Edit("allowances", " and seconds_ago <= REFUND_WINDOW", ""),),
+        ("tests.test_allowances.TestOneInstance.test_late_refund_is_ignored",),
     ),
     Weakness(
         "an answer is taken although its asker went on alone",
