--- a/src/chervilwing/duties.py
+++ b/src/chervilwing/duties.py
@@ -1,10 +1,10 @@
-"""The calls of the duties that one instance has at a time, and their replies."""
+"""The platform calls that only the holder of the duties makes, and their replies."""
 
 from typing import NamedTuple
 
 
 class ReportUsage(NamedTuple):
-    """Report the counts of one window."""
+    """Report one window's request counts by organisation."""
 
     window: int
     counts: dict[str, int]
@@ -14,7 +14,7 @@
 
 
 class OrderInstances(NamedTuple):
-    """Order so many instances of one kind for a pool in a data centre."""
+    """Order ``count`` instances of one kind for a pool in a data centre."""
 
     pool: str
     data_centre: str
@@ -26,22 +26,22 @@
 
 
 class Accepted(NamedTuple):
-    """The platform took the call."""
+    """The platform accepted the call."""
 
 
 class Denied(NamedTuple):
-    """The platform has no such instances at the moment."""
+    """The platform has no such instances at present."""
 
     text: str
 
 
 class Outdated(NamedTuple):
-    """The platform saw a higher fencing number."""
+    """The platform has seen a higher fencing number."""
 
     text: str
 
 
 class NoAnswer(NamedTuple):
-    """No answer, or one that says nothing; the call may take effect later."""
+    """No reply, or one that is inconclusive; the call may take effect later."""
 
     status: int
--- a/src/chervilwing/instance_orders.py
+++ b/src/chervilwing/instance_orders.py
@@ -9,12 +9,12 @@
 from .logs import log_event
 from .sizing import Sizing
 
-# Seconds between two tries of a call that failed.
-RETRY_WAIT = 0.5
+# Seconds between two tries of a failed call.
+RETRY_INTERVAL = 0.5
 
 
 class InstanceOrders(BaseComponent):
-    """Order instances for the pools that may be sized, one order at a time."""
+    """Order instances for the pools that have a fleet, one order at a time."""
 
     channel = "instance-orders"
 
@@ -26,8 +26,8 @@
         self._gateway = gateway
         self._sizings = {}
         self._fence = None
-        self._busy = False
-        self._due = 0.0
+        self._order_pending = False
+        self._retry_at = 0.0
 
     @handler("tick", channel="*")
     def _on_tick(self):
@@ -40,9 +40,10 @@
             self._fence = fence
             for sizing in self._sizings.values():
                 sizing.forget_orders()
-        if fence is None or self._busy or now < self._due:
+        if fence is None or self._order_pending or now < self._retry_at:
             return
-        # What is registered isn't known before: all would be ordered a second time.
+        # Registrations are unknown before; all instances would be ordered a second
+        # time.
         if self._coordinator.ready:
             self._order_next(now)
 
@@ -61,10 +62,10 @@
                 return
 
     def _order(self, pool, sizing, kind, count):
-        self._busy = True
+        self._order_pending = True
         self._coordinator.tenure.note_act(read_boottime())
         log_event(
-            "order",
+            "instances ordered",
             pool=pool,
             count=count,
             work=round(sizing.meter.rate, 3),
@@ -81,11 +82,11 @@
             time.monotonic() + self._cfg.lease,
         )
         self._cloud.submit(
-            call, lambda reply: self._answered(sizing, kind, count, reply)
+            call, lambda reply: self._receive_reply(sizing, kind, count, reply)
         )
 
-    def _answered(self, sizing, kind, count, reply):
-        self._busy = False
+    def _receive_reply(self, sizing, kind, count, reply):
+        self._order_pending = False
         now = read_boottime()
         if isinstance(reply, Accepted):
             sizing.note_ordered(kind, count, now)
@@ -93,8 +94,10 @@
             log_event("order denied", detail=reply.text, **kind._asdict())
             sizing.note_denied(kind, now)
         elif isinstance(reply, Outdated):
-            log_event("duty outdated", fence=self._fence or 0, detail=reply.text)
+            log_event(
+                "fencing number outdated", fence=self._fence or 0, detail=reply.text
+            )
             self._coordinator.tenure.drop()
         else:
             log_event("order not answered", status=reply.status)
-            self._due = now + RETRY_WAIT
+            self._retry_at = now + RETRY_INTERVAL
--- a/src/chervilwing/items.py
+++ b/src/chervilwing/items.py
@@ -1,13 +1,13 @@
 """The calls on a store of items with revisions, watches and leases, and their replies.
 
-One counter counts the revisions of the whole store upwards.
+A revision is a number that grows with each write to the whole store.
 """
 
 from typing import NamedTuple
 
 
 class Item(NamedTuple):
-    """One stored item; a value of None tells that it was deleted."""
+    """One stored item; a value of None means that it was deleted."""
 
     key: str
     value: bytes | None
@@ -15,14 +15,14 @@
 
 
 class ListItems(NamedTuple):
-    """Ask for the items under a prefix whose keys follow ``after``."""
+    """List the items under a prefix whose keys sort after ``after``."""
 
     prefix: str
     after: str = ""
 
 
 class WatchItems(NamedTuple):
-    """Ask for changes later than a revision, and wait ``wait`` seconds for one."""
+    """Request changes later than a revision; wait up to ``wait`` seconds for one."""
 
     prefix: str
     after: int
@@ -30,7 +30,7 @@
 
 
 class Page(NamedTuple):
-    """Items as of a revision of the whole store; ``more`` tells of another page."""
+    """Items as of a revision of the whole store; ``more`` if another page follows."""
 
     items: tuple[Item, ...]
     revision: int
@@ -45,11 +45,11 @@
 
 
 class HistoryGone(NamedTuple):
-    """The store no longer has the changes that were asked for."""
+    """The store no longer has the requested changes."""
 
 
 class Unavailable(NamedTuple):
-    """No answer, or a refusal that says nothing about the items."""
+    """No reply, or an error that says nothing about the items."""
 
     reason: str = ""
 
@@ -58,7 +58,7 @@
     """Write and delete all or nothing, if each ``expect`` key is at its revision.
 
     ``expect`` has pairs of key and revision, 0 for a key that must not exist; ``puts``
-    has triples of key, value and lease, 0 for none.
+    has triples of key, value and lease, 0 for no lease.
     """
 
     expect: tuple[tuple[str, int], ...] = ()
@@ -77,7 +77,7 @@
 
 
 class TakeLease(NamedTuple):
-    """Ask for a lease of so many seconds."""
+    """Request a lease of ``ttl`` seconds."""
 
     ttl: float
 
@@ -89,17 +89,17 @@
 
 
 class EndLease(NamedTuple):
-    """Give a lease back; its items are deleted."""
+    """End a lease; its items are deleted."""
 
     lease: int
 
 
 class Leased(NamedTuple):
-    """The lease was given or renewed for so many seconds from its arrival."""
+    """The lease was granted or renewed for ``ttl`` seconds from the call's arrival."""
 
     lease: int
     ttl: float
 
 
 class LeaseGone(NamedTuple):
-    """The store knows no such lease."""
+    """The store has no such lease."""
--- a/src/chervilwing/registrations.py
+++ b/src/chervilwing/registrations.py
@@ -1,22 +1,23 @@
-"""Upstreams that register themselves, and which of them may take new work."""
+"""Upstreams that register themselves, and which of them may get new requests."""
 
 from typing import NamedTuple
 
 from .models import Address
 
-# Seconds: entries that lapsed with the store are written anew within about two of its
-# return, as the platform promises; what is missing then is gone. A little less, since
-# nothing may be sent to one that left at the store's return two seconds later.
+# Seconds after the store's return for which lapsed entries are kept. The platform
+# promises that upstreams write them again within about two seconds; what is missing
+# then is gone. Slightly less than 2 s, because an upstream that left at the store's
+# return must get no requests two seconds later.
 LAPSE_GRACE = 1.8
 
 
 class Registration(NamedTuple):
-    """One incarnation of an upstream, as it registered itself.
+    """One process of an upstream, as it registered itself.
 
-    ``leaves_in`` are the seconds until a reclaimed instance ends, None where nobody
-    has said it. ``started_at`` is the Unix time of its start by its own clock, 0 where
-    it doesn't say; with another one the same name holds and knows nothing of before.
-    ``version`` is that of its software.
+    ``leaves_in`` is the seconds until a reclaimed machine ends, None where that is
+    unknown. ``started_at`` is the Unix time of the process's start by its own clock, 0
+    where unknown; another value under the same name means a new process with no memory
+    of the previous one. ``version`` is that of its software.
     """
 
     name: str
@@ -32,18 +33,17 @@
 
 
 class Registry:
-    """All upstreams known, by name; times are seconds on one clock."""
+    """All known upstreams by name; times are seconds on one clock."""
 
     def __init__(self):
         self.members = {}
         self._missing = {}
 
     def put(self, registration):
-        """Take a new or changed registration; return one that it ends, or None.
+        """Apply a new or changed registration; return the one that it ends, or None.
 
-        Guard: an upstream may start again under its name. What was known of it and the
-        connections to it are those of the process before: memory of prompts that is
-        gone, and kept connections whose next request would be lost.
+        An upstream may restart under its name. Its cached prompts are gone then, and
+        requests sent over connections to the previous process would be lost.
         """
         self._missing.pop(registration.name, None)
         known = self.members.get(registration.name)
@@ -53,12 +53,12 @@
         return known
 
     def remove(self, name, now, regained_at):
-        """Take note that an entry is gone; tell whether its upstream is gone now.
+        """Apply the removal of an entry; return whether its upstream is gone now.
 
-        Guard: while the store is away, entries lapse although their upstreams live and
-        can't renew them. Until LAPSE_GRACE after its return such an upstream is kept;
+        While the store is away, entries lapse because living upstreams can't renew
+        them. Such an upstream is kept until LAPSE_GRACE after the store's return: if
         dropped at once, a whole pool would vanish and every caller be refused. Kept
-        longer, one that really left would still get work when it ends.
+        longer, an upstream that really left would still get requests when it ends.
         """
         if name not in self.members:
             return False
@@ -69,12 +69,12 @@
         return True
 
     def drop(self, name):
-        """Forget an entry at once."""
+        """Remove an entry at once."""
         self._missing.pop(name, None)
         self.members.pop(name, None)
 
     def expire(self, now):
-        """Drop what stayed away and return the names."""
+        """Drop the entries that did not return in time; return their names."""
         gone = [name for name, due in self._missing.items() if now >= due]
         for name in gone:
             self.drop(name)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the registrations that somebody else wrote: none names an upstream."""
+"""Malformed registrations and instance records written by other programs."""
 
 import json
 import math
@@ -26,7 +26,7 @@
     "models": [{"name": "m", "version": 1, "adapters": []}],
     "seq": 4,
 }
-NEEDED = (
+REQUIRED = (
     "service",
     "address",
     "zone",
@@ -36,7 +36,7 @@
     "coldLeftMs",
     "seq",
 )
-# A fixed number of examples from a fixed seed: the verdict is the same each time.
+# A fixed number of examples from a fixed seed, so that each run is the same.
 FUZZ = settings(max_examples=300, derandomize=True, deadline=None, database=None)
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(),
@@ -46,13 +46,13 @@
 
 
 def read(**changes):
-    """Return what an entry with other fields names; None leaves a field out."""
+    """Return the registration of an entry with changed fields; None drops a field."""
     entry = {k: v for k, v in (ENTRY | changes).items() if v is not None}
     return read_registration(KEY, json.dumps(entry).encode())
 
 
 class TestEntries(unittest.TestCase):
-    def test_an_upstreams_own_entry_is_read(self):
+    def test_valid_entry_is_read(self):
         expected = Registration(
             "i-1", "web", Address("10.0.0.1", 80), "a", 64, version="v1"
         )
@@ -62,33 +62,33 @@
         self.assertEqual(found.started_at, 1780000000.25)
         self.assertTrue(found.leaving and found.reclaimable)
 
-    def test_an_entry_without_a_field_names_no_upstream(self):
-        for name in NEEDED:
+    def test_missing_field_is_rejected(self):
+        for name in REQUIRED:
             with self.subTest(name), self.assertRaises(BadConfiguration):
                 read(**{name: None})
 
-    def test_an_entry_with_another_type_names_no_upstream(self):
-        for name in (*NEEDED, "spot", "leaves_ms", "born"):
+    def test_wrong_type_is_rejected(self):
+        for name in (*REQUIRED, "spot", "leaves_ms", "born"):
             with self.subTest(name), self.assertRaises(BadConfiguration):
                 read(**{name: ["x"]})
         with self.assertRaises(BadConfiguration):
             read(born=17.5)
 
-    def test_an_unknown_state_names_no_upstream(self):
+    def test_unknown_state_is_rejected(self):
         with self.assertRaises(BadConfiguration):
             read(state="resting")
 
     @FUZZ
     @given(st.binary())
-    def test_bytes_that_cannot_be_read_name_no_upstream(self, data):
+    def test_arbitrary_bytes_are_rejected(self, data):
         with self.assertRaises(BadConfiguration):
             read_registration(KEY, data)
 
     @FUZZ
     @given(st.dictionaries(st.sampled_from(sorted(ENTRY)), VALUES))
-    def test_whatever_the_fields_hold_nothing_but_a_typed_failure_comes(self, changes):
-        # A reader that ends with another failure would end the reading of all that
-        # follow, and the instance would go on with upstreams of long ago.
+    def test_arbitrary_fields_are_read_or_rejected(self, changes):
+        # Another exception would end the reading of all following entries, and the
+        # instance would go on with outdated upstreams.
         try:
             found = read_registration(KEY, json.dumps(ENTRY | changes).encode())
         except BadConfiguration:
@@ -100,7 +100,7 @@
 
     @FUZZ
     @given(st.binary())
-    def test_a_foreign_instance_is_no_neighbour(self, data):
+    def test_arbitrary_peer_record_is_read_or_rejected(self, data):
         try:
             peer = decode_peer("instances/x", data)
         except BadConfiguration:
@@ -108,7 +108,7 @@
         self.assertIsInstance(peer.address, Address)
         self.assertTrue(math.isfinite(peer.link))
 
-    def test_an_instance_with_a_link_that_is_no_number_is_no_neighbour(self):
+    def test_peer_with_a_non_finite_link_is_rejected(self):
         for link in (b"nan", b"inf", b"x", b""):
             with self.assertRaises(BadConfiguration):
                 decode_peer("instances/x", b"10.0.0.1:7600 a " + link)
--- a/tests/test_registrations.py
+++ b/tests/test_registrations.py
@@ -19,39 +19,40 @@
         for name in ("one", "two"):
             self.registry.put(make_registration(name))
 
-    def test_while_the_store_is_well_a_vanished_entry_is_gone_at_once(self):
+    def test_removed_entry_is_gone_at_once_while_the_store_works(self):
         self.assertTrue(self.registry.remove("one", 9.0, NEVER))
         self.assertEqual(set(self.registry.members), {"two"})
 
     def test_entries_that_lapsed_with_the_store_have_time_to_return(self):
-        # The store was away longer than the entries live: at its return all upstreams
-        # are missing, and dropped at once every caller would be refused.
+        # The store was away for longer than the entries live, so that all upstreams are
+        # missing at its return. If they were dropped at once, every caller would be
+        # refused.
         self.assertFalse(self.registry.remove("one", 10.1, 10.0))
         self.registry.put(make_registration("one"))
         self.assertEqual(self.registry.expire(20.0), [])
         self.assertEqual(set(self.registry.members), {"one", "two"})
 
-    def test_what_left_just_after_the_return_is_left_in_time(self):
-        # An instance is cut off from the store; a second after its return an upstream
-        # leaves. Doubted from then on for as long as from the return, it would still
-        # get work when it may no longer.
+    def test_grace_period_counts_from_the_return_of_the_store(self):
+        # An instance loses the store; a second after the store's return an upstream
+        # leaves. If its grace period began at its removal, the upstream would still get
+        # requests after it has ended.
         self.assertFalse(self.registry.remove("one", 11.0, 10.0))
         self.assertEqual(self.registry.expire(10.0 + LAPSE_GRACE), ["one"])
         self.assertEqual(set(self.registry.members), {"two"})
 
-    def test_one_that_starts_again_under_its_name_ends_the_one_before(self):
-        # An engine crashes and is back under its name two seconds later, with nothing
-        # in its memory. Taken for the one before it would be sent, over connections
-        # that are dead, what it is believed to have read.
-        before, after = (
+    def test_restart_under_the_same_name_ends_the_old_registration(self):
+        # An engine crashes and is back under its name two seconds later with an empty
+        # cache. Mistaken for the previous process, it would get requests over dead
+        # connections and prompts that it is assumed to have cached.
+        previous, restarted = (
             make_registration("one")._replace(started_at=at) for at in (5.0, 7.0)
         )
-        self.registry.put(before)
-        leaving = before._replace(leaving=True)
+        self.registry.put(previous)
+        leaving = previous._replace(leaving=True)
         self.assertIsNone(self.registry.put(leaving))
-        self.assertEqual(self.registry.put(after), leaving)
-        self.assertIsNone(self.registry.put(after))
+        self.assertEqual(self.registry.put(restarted), leaving)
+        self.assertIsNone(self.registry.put(restarted))
         self.assertIsNone(self.registry.put(make_registration("three")))
 
-    def test_later_ones_are_not_doubted(self):
+    def test_entry_removed_after_the_grace_period_is_gone_at_once(self):
         self.assertTrue(self.registry.remove("one", 10.0 + LAPSE_GRACE, 10.0))
