--- a/src/chervilwing/clocks.py
+++ b/src/chervilwing/clocks.py
@@ -1,46 +1,46 @@
-"""Clocks: one that goes on through a suspension, and the time of day of most."""
+"""Clocks: one that includes suspended time, and a time of day shared by instances."""
 
 import time
 from statistics import median
 
-# Seconds after which another instance's word about the time of day no longer counts.
+# Seconds after which another instance's time of day is out of date.
 STALE_AFTER = 5.0
 
 
 def read_boottime():
-    """Return seconds on a clock that never jumps and counts suspended time too.
+    """Return seconds on a clock that never jumps and includes suspended time.
 
-    Guard: the monotonic clock stands still while a machine is suspended; leases and
-    the age of what is known would look young after it.
+    The monotonic clock stops while a machine is suspended; leases and knowledge would
+    look too young afterwards.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-# When this process began, but for what the interpreter takes before its first import.
+# When this process began, apart from the interpreter's start before the first import.
 STARTED_AT = read_boottime()
 
 
 class AgreedTime:
-    """The time of day as the middle of all instances' clocks.
+    """The time of day as the median of all instances' clocks.
 
-    Guard: the time of day of some instances jumps by seconds. Usage counted by such a
-    clock falls into a wrong window; the median of all doesn't move with a minority.
+    If the time of day of some instances jumps by seconds, usage counted by such a clock
+    would fall into a wrong window; the median doesn't follow a minority.
     """
 
     def __init__(self):
         self._offsets = {}
         self._adopted = (0.0, float("-inf"))
 
-    def hear(self, peer, time_of_day, now):
-        """Take another instance's time of day."""
+    def add_sample(self, peer, time_of_day, now):
+        """Record another instance's time of day."""
         self._offsets[peer] = (time_of_day - now, now)
 
     def adopt(self, time_of_day, now):
-        """Take the time on which those agree whom another instance hears."""
+        """Use the agreed time of another instance, which has samples of all."""
         self._adopted = (time_of_day - now, now)
 
     def read(self, time_of_day, now):
-        """Return Unix seconds, given this instance's own time of day."""
+        """Return the agreed Unix time, in seconds, given this instance's own."""
         offset, at = self._adopted
         if now - at < STALE_AFTER:
             return now + offset
--- a/src/chervilwing/coordination.py
+++ b/src/chervilwing/coordination.py
@@ -1,4 +1,4 @@
-"""What an instance learns from the platform's store, and its place among the others."""
+"""An instance's view of the platform's store, and its registration among the others."""
 
 import random
 from collections.abc import Callable
@@ -16,43 +16,44 @@
 from .mirrors import Mirror
 from .models import Address
 from .rollouts import DECISIONS, decode_decision
-from .roster import COUNT, Roster
+from .roster import COUNT, InstanceCount
 from .stored_crashes import CRASHES, decode_crash
-from .tenures import Record, Tenure
+from .tenures import DutyLease, Record
 
-# The product's own keys: instances that run, and who holds the duties.
+# Keys of the product itself: running instances, and the holder of the duties.
 INSTANCES = "chervilwing/instances/"
 DUTIES = "chervilwing/instances-duties"
-# Seconds that a watch waits. An answered one proves how fresh knowledge is, for all who
-# ask this instance too; see fanout.OLDEST.
+# Seconds that a watch waits. Each reply proves how fresh the knowledge is, also for the
+# instances that query this one; see fanout.MAX_FRESH_AGE.
 CONFIGURATION_WAIT = 0.4
 REGISTRATIONS_WAIT = 0.4
 INSTANCES_WAIT = 4.0
-# Seconds after a change of the instances until the next call. Load: dozens of instances
-# start within a second. Harm: each wakes every watch. Others go on to ask an instance
-# that is gone for a second anyway.
+# Seconds after a change of the instances until the next call. When dozens of instances
+# start within a second, each would otherwise wake every watch. Other instances keep
+# querying one that is gone for a second in any case.
 INSTANCES_SPACING = 0.5
-# Seconds after a change of registrations until the next call. Load: a wave takes a data
-# centre's upstreams, each change wakes every instance. Harm: every call is paid for and
-# counted; a quarter second of the two in which a leaving one still serves is no loss.
+# Seconds after a change of the registrations until the next call. A reclaim wave takes
+# a whole data centre's upstreams; each change would wake every instance, and every call
+# is charged for and counted. A leaving upstream still serves for two seconds, so that a
+# quarter of a second does no harm.
 REGISTRATIONS_SPACING = 0.25
-# Seconds for which an instance that is gone still counts as lately there: a window of
-# usage and the time until it is reported.
-RECENT = 10.0
-# Part of the bound on keys up to which an instance trusts what it knows. The age counts
-# from the sending of a watch, which is longer ago than the second for which the store's
-# watches may be late; the rest is for the drift of two clocks. Load: an outage of the
-# store. Harm: each second less refuses every caller with a key a second sooner.
-TRUSTED_PART = 0.95
-# Seconds up to which knowledge of registrations is of late.
-OF_LATE = 2.0
-# How many of the followed prefixes, the first ones, have to be known as of late: the
-# configuration and the registrations. Who else runs may be older.
-TIMELY_PREFIXES = 2
+# Seconds for which an instance that is gone counts as recent: a window of usage and the
+# time until it is reported.
+RECENT_SECONDS = 10.0
+# Fraction of the bound on keys up to which knowledge of them is trusted. Its age counts
+# from the sending of a watch, which already covers the second by which the store's
+# watches may be late; the rest covers the drift of two clocks. In an outage of the
+# store, each second less would refuse every caller with a key a second sooner.
+TRUSTED_FRACTION = 0.95
+# Seconds up to which knowledge of registrations counts as fresh.
+MAX_REGISTRATIONS_AGE = 2.0
+# Number of followed prefixes, the first ones, that must be fresh: the configuration and
+# the registrations. Knowledge of other instances may be older.
+FRESH_PREFIXES = 2
 
 
 class Peer(NamedTuple):
-    """Another instance: where its datagrams go, its data centre and link in Mbit/s."""
+    """Another instance: its address for datagrams, data centre and link in Mbit/s."""
 
     address: Address
     data_centre: str
@@ -65,23 +66,23 @@
 
 
 def decode_peer(key, value):
-    """Return the Peer of such a value, or raise BadConfiguration."""
+    """Return the Peer of a registered value, or raise BadConfiguration."""
     try:
         address, data_centre, link = value.decode().split(" ")
         peer = Peer(parse_address(address), data_centre, float(link))
         if not isfinite(peer.link):
-            raise ValueError("the link is no number")
+            raise ValueError("the link rate is not a finite number")
         return peer
     except ValueError as exc:
         raise BadConfiguration(f"{key}: {exc}") from exc
 
 
 class Sources(NamedTuple):
-    """Where the platform keeps what the product follows, and how it is read.
+    """Where the platform keeps the followed items, and how they are decoded.
 
     ``read_document``, ``read_registration`` and ``read_order`` take a key and bytes,
     and raise BadConfiguration. ``write_status`` takes the pool, target and state of a
-    roll-out and returns the put that tells the operator.
+    roll-out and returns the put that reports it to the operator.
     """
 
     documents: str
@@ -93,7 +94,7 @@
 
 
 class Coordinator(BaseComponent):
-    """Follow configuration, registrations and the other instances."""
+    """Follow the configuration, the registrations and the other instances."""
 
     channel = "coordination"
 
@@ -102,12 +103,12 @@
         self.cfg = cfg
         self._store = store
         self._sources = sources
-        self._seen = {}
+        self._last_seen = {}
         self._gateway = gateway
         rng = random.Random()
         value = encode_peer(Peer(cfg.beacon_listen, cfg.data_centre, cfg.link_rate))
         record = Record(INSTANCES + cfg.name, value)
-        self.tenure = Tenure(DUTIES, record, cfg.name, cfg.lease, rng)
+        self.tenure = DutyLease(DUTIES, record, cfg.name, cfg.lease, rng)
         self._documents = Mirror(sources.documents, CONFIGURATION_WAIT, rng)
         self._registrations = Mirror(
             sources.registrations, REGISTRATIONS_WAIT, rng, REGISTRATIONS_SPACING
@@ -115,52 +116,57 @@
         self._instances = Mirror(
             INSTANCES.rstrip("/"), INSTANCES_WAIT, rng, INSTANCES_SPACING
         )
-        self._followers = (
-            (self._documents, self._take_document),
-            (self._registrations, self._take_registration),
-            (self._instances, self._take_instance),
+        self._followed = (
+            (self._documents, self._apply_document),
+            (self._registrations, self._apply_registration),
+            (self._instances, self._apply_instance),
         )
-        self._roster = Roster()
+        self._instance_count = InstanceCount()
         self.peers = {}
-        # Grows with each change of the peers.
+        # Incremented with each change of the peers.
         self.peers_version = 0
 
     def knows_keys(self):
-        """Tell whether what is known of keys is fresh enough to honour them."""
-        return self.keys_age() < self.cfg.revoke_bound * TRUSTED_PART
+        """Return whether the knowledge of keys is fresh enough to accept them."""
+        return self.keys_age() < self.cfg.revoke_bound * TRUSTED_FRACTION
 
     def keys_age(self):
-        """Return how old what is known of keys may be, in seconds."""
+        """Return the maximum age of the knowledge of keys, in seconds."""
         return read_boottime() - self._documents.as_of
 
     def registrations_since(self):
-        """Return since when registrations are known as of late without a break.
+        """Return since when registrations have been fresh without a break.
 
-        While the store is away, no registration lapses; infinite where it is.
+        While the store is unreachable, no registration is dropped, and the time is
+        infinite.
         """
         age = read_boottime() - self._registrations.as_of
-        return self._registrations.regained_at if age <= OF_LATE else float("inf")
+        return (
+            self._registrations.regained_at
+            if age <= MAX_REGISTRATIONS_AGE
+            else float("inf")
+        )
 
     @property
     def ready(self):
-        """Tell whether requests can be served."""
+        """Return whether requests can be served."""
         known = self._gateway.table is not None and self._registrations.complete
         return known and self.knows_keys()
 
     @property
-    def resting(self):
-        """Tell whether another instance watches the store for this one."""
-        return self._documents.resting
+    def passive(self):
+        """Return whether another instance watches the store for this one."""
+        return self._documents.passive
 
-    @resting.setter
-    def resting(self, resting):
-        for mirror, _ in self._followers:
-            mirror.resting = resting
+    @passive.setter
+    def passive(self, passive):
+        for mirror, _ in self._followed:
+            mirror.passive = passive
 
     @property
     def unreachable(self):
-        """Tell whether the last own call on the store had no answer."""
-        return any(mirror.unreachable for mirror, _ in self._followers)
+        """Return whether the last own call on the store had no reply."""
+        return any(mirror.unreachable for mirror, _ in self._followed)
 
     def list_links(self):
         """Return the Mbit/s of all instances' links, by name."""
@@ -168,39 +174,45 @@
         return {**links, self.cfg.name: self.cfg.link_rate}
 
     def list_revisions(self):
-        """Return up to which revision each prefix is known, None where it isn't."""
-        return [mirror.revision for mirror, _ in self._followers]
+        """Return the known revision of each prefix, None where it isn't listed yet."""
+        return [mirror.revision for mirror, _ in self._followed]
 
-    def tell(self, revisions, now):
-        """Return the News of each prefix after the revisions that another one knows."""
-        mirrors = (mirror for mirror, _ in self._followers)
+    def list_news(self, revisions, now):
+        """Return the News of each prefix after another instance's revisions."""
+        mirrors = (mirror for mirror, _ in self._followed)
         return [
-            mirror.tell(revision, now)
+            mirror.make_news(revision, now)
             for mirror, revision in zip(mirrors, revisions, strict=True)
         ]
 
-    def find_age(self, news):
-        """Return how old the oldest is of what has to be known as of late."""
-        timely = news[:TIMELY_PREFIXES]
-        return max(float("inf") if item is None else item.age for item in timely)
+    def compute_age(self, news):
+        """Return the greatest age in seconds among the prefixes that must be fresh."""
+        fresh = news[:FRESH_PREFIXES]
+        return max(float("inf") if item is None else item.age for item in fresh)
 
-    def learn(self, news, asked_at, now):
-        """Take what another instance told of each prefix."""
-        for (mirror, take), item in zip(self._followers, news, strict=True):
+    def apply_news(self, news, queried_at, now):
+        """Apply another instance's news of each prefix."""
+        for (mirror, apply), item in zip(self._followed, news, strict=True):
             if item is not None:
-                self._take_changes(mirror, take, mirror.learn(item, asked_at, now), now)
+                self._apply_changes(
+                    mirror, apply, mirror.apply_news(item, queried_at, now), now
+                )
 
-    def list_recent(self):
-        """Return the names of all instances that were registered lately."""
+    def list_recent_instances(self):
+        """Return the names of all instances that were registered recently."""
         now = read_boottime()
         for name in (self.cfg.name, *self.peers):
-            self._seen[name] = now
-        self._seen = {name: at for name, at in self._seen.items() if now - at < RECENT}
-        return set(self._seen)
+            self._last_seen[name] = now
+        self._last_seen = {
+            name: at
+            for name, at in self._last_seen.items()
+            if now - at < RECENT_SECONDS
+        }
+        return set(self._last_seen)
 
     @property
     def lease(self):
-        """Return the lease under which this instance's items stand, or None."""
+        """Return the lease of this instance's items, or None."""
         return self.tenure.lease
 
     @handler("tick", channel="*")
@@ -210,79 +222,79 @@
     def advance(self):
         """Make the calls that are due."""
         now = read_boottime()
-        self._follow_decisions()
-        lost = [mirror for mirror, _ in self._followers if mirror.lost_since]
-        for mirror, take in self._followers:
-            # One call tells whether the store is back; three would be paid for.
+        self._set_watch_wait()
+        lost = [mirror for mirror, _ in self._followed if mirror.lost_since]
+        for mirror, apply in self._followed:
+            # One call detects the store's return; three would be charged for.
             call = None if mirror in lost[1:] else mirror.next_call(now)
             if call is not None:
                 self._store.submit(
-                    call, lambda r, m=mirror, t=take: self._hear(m, t, r)
+                    call, lambda r, m=mirror, a=apply: self._receive_reply(m, a, r)
                 )
         call = self.tenure.next_call(now)
         if call is not None:
-            self._store.submit(call, self._hear_tenure)
+            self._store.submit(call, self._receive_duty_reply)
         if self.tenure.fence(now) is not None:
-            self._keep_roster(now)
+            self._store_count(now)
         self._gateway.expire_upstreams()
 
-    def _take_changes(self, mirror, take, changed, now):
+    def _apply_changes(self, mirror, apply, changed, now):
         for item in changed:
-            take(item, now)
+            apply(item, now)
         if mirror is self._instances and mirror.complete:
             self._observe_duty(mirror, now)
             if changed:
                 self._share_allowances(now)
 
     def _share_allowances(self, now):
-        """Share the limits among all instances, those lost of late included."""
-        known = max(self._roster.count, len(self.list_recent()))
-        self._gateway.allowances.set_known(known, now)
+        """Share the limits among all instances, recently lost ones included."""
+        count = max(self._instance_count.count, len(self.list_recent_instances()))
+        self._gateway.allowances.set_known(count, now)
 
-    def _keep_roster(self, now):
-        call = self._roster.next_call(len(self.list_recent()), now)
+    def _store_count(self, now):
+        call = self._instance_count.next_call(len(self.list_recent_instances()), now)
         if call is not None:
-            self._store.submit(call, self._hear_roster)
+            self._store.submit(call, self._receive_count_reply)
 
-    def _hear_roster(self, reply):
-        # The watch tells what is stored now; a write that failed is due again.
+    def _receive_count_reply(self, reply):
+        # The watch returns the stored count; a failed write becomes due again.
         if not isinstance(reply, Committed):
-            log_event("roster not written", reply=type(reply).__name__)
+            log_event("instance count not written", reply=type(reply).__name__)
 
-    def _hear_tenure(self, reply):
+    def _receive_duty_reply(self, reply):
         now = read_boottime()
-        held = self.tenure.fence(now)
+        fence_before = self.tenure.fence(now)
         self.tenure.receive(reply, now)
-        self._log_tenure(held, now)
+        self._log_duty(fence_before, now)
 
-    def _log_tenure(self, held, now):
+    def _log_duty(self, fence_before, now):
         fence = self.tenure.fence(now)
-        if fence != held:
-            log_event("duty", fence=fence or 0, lease=self.lease or 0)
+        if fence != fence_before:
+            log_event("duty claim changed", fence=fence or 0, lease=self.lease or 0)
 
-    def _hear(self, mirror, take, reply):
+    def _receive_reply(self, mirror, apply, reply):
         now = read_boottime()
         lost = mirror.lost_since
         changed = mirror.receive(reply, now)
-        self._log_dependency(mirror, lost, reply)
-        self._take_changes(mirror, take, changed, now)
+        self._log_store_state(mirror, lost, reply)
+        self._apply_changes(mirror, apply, changed, now)
         self.advance()
 
-    def _log_dependency(self, mirror, lost, reply):
+    def _log_store_state(self, mirror, lost, reply):
         if lost is None and mirror.lost_since is not None:
             log_event("store lost", prefix=mirror.prefix, reason=reply.reason)
         elif lost is not None and mirror.lost_since is None:
-            away = round(read_boottime() - lost, 3)
-            log_event("store regained", prefix=mirror.prefix, seconds=away)
+            outage = round(read_boottime() - lost, 3)
+            log_event("store regained", prefix=mirror.prefix, seconds=outage)
 
     def _observe_duty(self, mirror, now):
         if mirror.revision is None:
             return
-        held = self.tenure.fence(now)
+        fence_before = self.tenure.fence(now)
         self.tenure.observe(mirror.items.get(DUTIES), mirror.revision)
-        self._log_tenure(held, now)
+        self._log_duty(fence_before, now)
 
-    def _take_document(self, item, now):
+    def _apply_document(self, item, now):
         if item.value is None:
             return
         order = self._read(self._sources.read_order, item)
@@ -305,7 +317,7 @@
             log_event("item ignored", key=item.key, detail=exc.detail)
             return None
 
-    def _take_registration(self, item, now):
+    def _apply_registration(self, item, now):
         name = item.key.removeprefix(self._sources.registrations)
         if item.value is None:
             self._gateway.remove_upstream(name, self._registrations.regained_at)
@@ -313,7 +325,7 @@
             return
         found = self._read(self._sources.read_registration, item)
         if found is None:
-            # Written over by somebody else: it names no upstream any more.
+            # Overwritten by another writer: the item names no upstream any more.
             self._gateway.drop_upstream(name)
             return
         self._gateway.put_upstream(found)
@@ -326,39 +338,39 @@
             revision=item.revision,
         )
 
-    def _take_instance(self, item, now):
+    def _apply_instance(self, item, now):
         if item.key == COUNT:
-            self._roster.observe(item)
+            self._instance_count.observe(item)
             return
         if item.key.startswith(DECISIONS):
-            self._take_decision(item)
+            self._apply_decision(item)
             return
         if item.key.startswith(CRASHES):
-            self._take_crash(item, now)
+            self._apply_crash(item, now)
             return
-        self._note_peer(item)
-        self.list_recent()
+        self._apply_peer(item)
+        self.list_recent_instances()
         self._gateway.retries.set_instances(1 + len(self.peers))
 
-    def _take_decision(self, item):
+    def _apply_decision(self, item):
         decision = None if item.value is None else self._read(decode_decision, item)
         pool = item.key.removeprefix(DECISIONS)
         self._gateway.rollouts.put_decision(pool, decision, item.revision)
         if decision is not None:
             log_event("rollout decided", pool=pool, **msgspec.structs.asdict(decision))
 
-    def _take_crash(self, item, now):
+    def _apply_crash(self, item, now):
         crash = None if item.value is None else self._read(decode_crash, item)
         self._gateway.crashes.hear_stored(item.key, crash, item.revision, now)
 
-    def _follow_decisions(self):
-        """Watch the decisions more closely while there is one to come."""
+    def _set_watch_wait(self):
+        """Shorten the watches while a decision on a roll-out is pending."""
         rollouts = self._gateway.rollouts
         rollouts.as_of = self._instances.as_of
         wait = REGISTRATIONS_WAIT if rollouts.undecided else INSTANCES_WAIT
         self._instances.wait = wait
 
-    def _note_peer(self, item):
+    def _apply_peer(self, item):
         name = item.key.removeprefix(INSTANCES)
         if not item.key.startswith(INSTANCES) or name == self.cfg.name:
             return
--- a/src/chervilwing/mirrors.py
+++ b/src/chervilwing/mirrors.py
@@ -1,7 +1,8 @@
-"""A mirror of all items under one prefix of the platform's store.
+"""A local mirror of all items under one prefix of the platform's store.
 
-The mirror lists once and then watches. It makes one call at a time, so that one slow
-answer can't cross a newer one, and it knows how old its knowledge may be.
+The mirror lists the items once and then watches for changes. It makes one call at a
+time, so that a slow reply can't arrive after a newer one, and it records how old its
+knowledge may be.
 """
 
 from collections import deque
@@ -17,33 +18,33 @@
     WatchItems,
 )
 
-# Seconds before a call is repeated that failed: doubled up to the second figure. Load:
-# hundreds of instances whose store has just come back. Harm: all ask at once, and the
-# store's rates are used up by questions.
-FIRST_WAIT = 0.1
-LONGEST_WAIT = 1.0
-# Changes kept to tell other instances: a wave takes some hundred upstreams at once, and
-# the others ask several times a second.
-CHANGES_KEPT = 1024
-# Bytes of keys and values told at once, so that three prefixes fit into a datagram of
-# some frames. An item that is larger is read from the store.
-NEWS_BYTES = 1200
-# Bytes of keys told to one that knows less than the changes that are kept: those of a
-# thousand upstreams, or of two hundred where it takes several pieces. Load: hundreds of
-# instances start at once. Harm: told again with each piece, more would fill their
-# links; one list from the store is cheaper.
-KEYS_BYTES = 24_000
-REPEATED_KEYS_BYTES = 4800
+# First and longest delay, in seconds, before a failed call is repeated; it doubles each
+# time. Without it, hundreds of instances whose store has just recovered would all call
+# at once and exhaust the store's rate limit.
+MIN_BACKOFF = 0.1
+MAX_BACKOFF = 1.0
+# Changes kept for other instances: a reclaim wave takes some hundred upstreams at once,
+# and other instances query several times a second.
+MAX_CHANGES = 1024
+# Bytes of keys and values in one News, so that three prefixes fit into a datagram of a
+# few IP fragments. A larger item is read from the store.
+MAX_NEWS_BYTES = 1200
+# Bytes of keys sent to an instance whose revision is older than the kept changes: the
+# keys of a thousand upstreams, or of two hundred where the changes need several News.
+# The keys are repeated with each News, and hundreds of instances may start at once;
+# with more keys they would fill their links, and one list call to the store is cheaper.
+MAX_KEYS_BYTES = 24_000
+MAX_REPEATED_KEYS_BYTES = 4800
 
 
 class News(NamedTuple):
-    """What one instance tells another of a prefix; ages are in seconds.
+    """What one instance reports to another of a prefix; ages are in seconds.
 
-    ``items`` are all changes after the revision that was asked for and up to
-    ``revision``, or None where they aren't known or too large. ``more`` tells that
-    later ones were left out. ``regained`` is how long ago the store was regained, None
-    where it never was lost. ``keys`` are those of all items, where the changes alone
-    don't tell which are gone.
+    ``items`` are all changes after the requested revision up to ``revision``, or None
+    where they are unknown or too large. ``more`` is true where later changes were left
+    out. ``regained`` is how long ago the store became reachable again, None where it
+    never was lost. ``keys`` are the keys of all items, where the changes alone don't
+    show which items were deleted.
     """
 
     age: float
@@ -55,16 +56,16 @@
 
 
 class Mirror:
-    """State of one prefix; times are seconds on one clock, read by the caller.
-
-    ``as_of`` is when the last answered call was sent: whatever was acknowledged before
-    is known here. The time of the answer would claim too much, as it may have been
-    long on its way. ``lost_since`` is when calls began to fail, or None, and
-    ``regained_at`` when they last worked again. After a change the next call waits for
-    ``spacing``: changes that come together cost one call in place of one each. A
-    ``resting`` mirror makes no calls but to list: another instance tells its news.
-    ``unreachable`` tells that the last call of its own had no answer. ``wait`` is for
-    how many seconds a watch waits, and may change.
+    """State of one prefix; times are seconds on one clock, passed by the caller.
+
+    ``as_of`` is when the last answered call was sent: every write that was acknowledged
+    before is known here. The arrival of the reply would be too late a time, as the
+    reply may have been delayed. ``lost_since`` is when calls began to fail, or None,
+    and ``regained_at`` when they last worked again. After a change the next call waits
+    for ``spacing`` seconds, so that changes that come together cost one call. A
+    ``passive`` mirror makes no calls except to list: another instance sends it the
+    news. ``unreachable`` is true where the last own call had no reply. ``wait`` is how
+    many seconds a watch waits; it may be changed.
     """
 
     def __init__(self, prefix, wait, rng, spacing=0.0):
@@ -74,33 +75,35 @@
         self.as_of = float("-inf")
         self.regained_at = float("-inf")
         self.lost_since = None
-        self.resting = False
+        self.passive = False
         self.unreachable = False
         self.wait = wait
         self._spacing = spacing
         self._rng = rng
         self.revision = None
         self._listing = None
-        # Whether others know of changes that this one has to list.
-        self._lacking = False
-        self._sent = None
-        self._due = 0.0
-        self._backoff = FIRST_WAIT
+        # Whether another instance has changes that are too large to send and must be
+        # listed.
+        self._must_list = False
+        self._sent_at = None
+        self._next_call_at = 0.0
+        self._backoff = MIN_BACKOFF
         self._changes = deque()
-        # All changes after this revision are kept. Guard: what came and went between
-        # two lists, or before another one told its list, was never seen here; passed
-        # off as all changes, those kept here would let others keep it for good.
-        self._floor = None
+        # All changes after this revision are kept. Items that were created and deleted
+        # between two lists, or before another instance's list was applied, were never
+        # seen here. News based on earlier changes would omit their deletion, and other
+        # instances would keep them for good.
+        self._changes_since = None
 
     def next_call(self, now):
-        """Return the call to make now, or None while one runs or is not due."""
-        if self._sent is not None or now < self._due:
+        """Return the call to make now, or None while one runs or none is due."""
+        if self._sent_at is not None or now < self._next_call_at:
             return None
-        known = self.revision is not None and not self._lacking
-        if self.resting and known:
+        up_to_date = self.revision is not None and not self._must_list
+        if self.passive and up_to_date:
             return None
-        self._sent = now
-        if known:
+        self._sent_at = now
+        if up_to_date:
             return WatchItems(self.prefix, self.revision, self.wait)
         if self._listing is None:
             self._listing = (None, {})
@@ -108,87 +111,90 @@
         return ListItems(self.prefix, last)
 
     def receive(self, reply, now):
-        """Take the answer to the last call and return the items that changed."""
-        sent, self._sent = self._sent, None
-        return RECEIVERS[type(reply)](self, reply, sent, now)
+        """Apply the reply to the last call and return the items that changed."""
+        sent_at, self._sent_at = self._sent_at, None
+        return RECEIVERS[type(reply)](self, reply, sent_at, now)
 
-    def _receive_page(self, page, sent, now):
+    def _receive_page(self, page, sent_at, now):
         if self._listing is None:
-            # Another instance told the rest while this was on its way.
-            self._recover(now)
+            # Another instance sent the rest of the list while this page was on its way.
+            self._mark_reachable(now)
             return []
         first, found = self._listing
-        # Pages are no snapshot: changes behind the first page's revision come again.
+        # Pages are no snapshot: changes after the first page's revision are watched
+        # for.
         first = page.revision if first is None else first
         found.update((item.key, item) for item in page.items)
         self._listing = (first, found)
-        self._recover(now)
+        self._mark_reachable(now)
         if page.more and page.items:
             return []
-        return self._replace(first, found, sent)
+        return self._replace(first, found, sent_at)
 
-    def _replace(self, revision, found, sent):
-        gone = [
+    def _replace(self, revision, found, sent_at):
+        deleted = [
             Item(key, None, revision)
             for key, item in self.items.items()
             if key not in found and item.revision <= revision
         ]
         self._listing = None
-        self._lacking = False
+        self._must_list = False
         self.revision = revision
-        self.as_of = sent
+        self.as_of = sent_at
         self.complete = True
-        self._begin_changes(revision)
-        return self._apply([*found.values(), *gone])
+        self._reset_changes(revision)
+        return self._apply_items([*found.values(), *deleted])
 
-    def _receive_changes(self, changes, sent, now):
-        self._recover(now)
+    def _receive_changes(self, changes, sent_at, now):
+        self._mark_reachable(now)
         if self.revision is None:
-            # Listed anew meanwhile; the list will have these too.
+            # Listing has restarted meanwhile; the list will include these changes.
             return []
         if changes.items:
-            self._due = now + self._spacing
-        changed = self._advance(changes.items, changes.revision)
-        self.as_of = max(self.as_of, sent)
+            self._next_call_at = now + self._spacing
+        changed = self._apply_changes(changes.items, changes.revision)
+        self.as_of = max(self.as_of, sent_at)
         return changed
 
-    def _advance(self, items, revision):
-        """Apply changes up to a revision and return what is new.
+    def _apply_changes(self, items, revision):
+        """Apply changes up to a revision and return the items that changed.
 
-        Guard: the answer to a watch and another instance's news cross. A change that is
-        older than what is known would bring back an item that was deleted since.
+        The reply to a watch and another instance's news may cross. A change that is
+        older than the present revision would restore an item that was deleted since.
         """
-        changed = self._apply([item for item in items if item.revision > self.revision])
+        changed = self._apply_items(
+            [item for item in items if item.revision > self.revision]
+        )
         self.revision = max(self.revision, revision)
-        self._keep(changed)
+        self._keep_changes(changed)
         return changed
 
-    def tell(self, revision, now):
-        """Return the News after a revision for an instance that asks."""
+    def make_news(self, revision, now):
+        """Return the News after a revision for an instance that queries this one."""
         if self.revision is None:
             return None
         keys = None
-        if revision is not None and revision < self._floor:
+        if revision is not None and revision < self._changes_since:
             keys = tuple(self.items)
-        items, more = self._select(revision, keys)
-        told = items[-1].revision if more else self.revision
+        items, more = self._select_changes(revision, keys)
+        last_revision = items[-1].revision if more else self.revision
         return News(
             now - self.as_of,
             None if self.regained_at == float("-inf") else now - self.regained_at,
-            told,
+            last_revision,
             items,
             more,
             keys if items is not None else None,
         )
 
-    def _select(self, revision, keys):
+    def _select_changes(self, revision, keys):
         """Return the changes after a revision that fit, and whether more follow.
 
-        None in their place tells that they can't be told. With ``keys`` they are what
-        is there now.
+        The changes are None where they can't be sent. With ``keys``, the present items
+        are selected instead of the kept changes.
         """
         keys_size = sum(map(len, keys or ()))
-        if revision is None or keys_size > KEYS_BYTES:
+        if revision is None or keys_size > MAX_KEYS_BYTES:
             return None, False
         changes = self._changes if keys is None else self.items.values()
         later = [item for item in changes if item.revision > revision]
@@ -196,47 +202,47 @@
         fitting, size = [], 0
         for item in later:
             size += len(item.key) + len(item.value or b"")
-            if size > NEWS_BYTES:
+            if size > MAX_NEWS_BYTES:
                 break
             fitting.append(item)
         if len(fitting) == len(later):
             return tuple(fitting), False
-        if keys_size > REPEATED_KEYS_BYTES:
+        if keys_size > MAX_REPEATED_KEYS_BYTES:
             return None, False
-        # What was written together is told together.
-        cut = later[len(fitting)].revision
-        fitting = [item for item in fitting if item.revision < cut]
+        # Changes written by one commit have one revision and are sent together.
+        first_left_out = later[len(fitting)].revision
+        fitting = [item for item in fitting if item.revision < first_left_out]
         return (tuple(fitting), True) if fitting else (None, False)
 
-    def learn(self, news, asked_at, now):
-        """Take another instance's News and return the items that changed.
+    def apply_news(self, news, queried_at, now):
+        """Apply another instance's News and return the items that changed.
 
-        Guard: the age counts from the question, which its answer can't precede; how
-        long the answer was on its way, or this instance stood still, doesn't matter.
+        Its age counts from the sending of the query, which the reply can't precede, so
+        that a delay of the reply or a suspension of this instance doesn't matter.
         """
         if self.revision is None:
             return []
         if news.items is None:
-            # What is known stays meanwhile: another instance may tell the rest before
-            # the store can be asked.
-            self._lacking = True
+            # The present items stay meanwhile: another instance may send the changes
+            # before the store can be listed.
+            self._must_list = True
             return []
-        self._lacking = False
+        self._must_list = False
         self._listing = None
         if news.regained is not None:
-            self.regained_at = max(self.regained_at, asked_at - news.regained)
+            self.regained_at = max(self.regained_at, queried_at - news.regained)
         items = news.items
         if news.keys is not None:
-            items = [*items, *self._list_gone(news)]
-        changed = self._advance(items, news.revision)
+            items = [*items, *self._find_deleted(news)]
+        changed = self._apply_changes(items, news.revision)
         if news.keys is not None:
-            self._begin_changes(self.revision)
+            self._reset_changes(self.revision)
         if not news.more:
-            self.as_of = max(self.as_of, asked_at - news.age)
+            self.as_of = max(self.as_of, queried_at - news.age)
         return changed
 
-    def _list_gone(self, news):
-        """Return as deleted what another instance doesn't have any more."""
+    def _find_deleted(self, news):
+        """Return deletions of the items that another instance no longer has."""
         keys = set(news.keys)
         return [
             Item(key, None, news.revision)
@@ -244,59 +250,59 @@
             if key not in keys and item.revision < news.revision
         ]
 
-    def _apply(self, items):
+    def _apply_items(self, items):
         changed = []
         for item in items:
-            known = self.items.get(item.key)
-            if known is not None and known.revision >= item.revision:
+            current = self.items.get(item.key)
+            if current is not None and current.revision >= item.revision:
                 continue
             if item.value is not None:
                 self.items[item.key] = item
-            elif known is None:
+            elif current is None:
                 continue
             else:
                 del self.items[item.key]
             changed.append(item)
         return changed
 
-    def _begin_changes(self, revision):
-        """Keep only changes that come after a revision."""
+    def _reset_changes(self, revision):
+        """Drop the kept changes; keep those after a revision from now on."""
         self._changes.clear()
-        self._floor = revision
+        self._changes_since = revision
 
-    def _keep(self, changed):
+    def _keep_changes(self, changed):
         self._changes.extend(changed)
-        while len(self._changes) > CHANGES_KEPT:
+        while len(self._changes) > MAX_CHANGES:
             dropped = self._changes.popleft()
-            self._floor = max(self._floor, dropped.revision)
+            self._changes_since = max(self._changes_since, dropped.revision)
 
-    def _receive_gone(self, reply, sent, now):
-        self._list_anew()
+    def _receive_history_gone(self, reply, sent_at, now):
+        self._restart_listing()
         return []
 
-    def _list_anew(self):
+    def _restart_listing(self):
         self.revision = None
         self._listing = None
 
-    def _receive_nothing(self, reply, sent, now):
+    def _receive_failure(self, reply, sent_at, now):
         self.unreachable = True
         if self.lost_since is None:
             self.lost_since = now
-        self._due = now + self._backoff * self._rng.uniform(0.5, 1.5)
-        self._backoff = min(LONGEST_WAIT, self._backoff * 2)
+        self._next_call_at = now + self._backoff * self._rng.uniform(0.5, 1.5)
+        self._backoff = min(MAX_BACKOFF, self._backoff * 2)
         return []
 
-    def _recover(self, now):
+    def _mark_reachable(self, now):
         if self.lost_since is not None:
             self.regained_at = now
         self.lost_since = None
         self.unreachable = False
-        self._backoff = FIRST_WAIT
+        self._backoff = MIN_BACKOFF
 
 
 RECEIVERS = {
     Page: Mirror._receive_page,
     Changes: Mirror._receive_changes,
-    HistoryGone: Mirror._receive_gone,
-    Unavailable: Mirror._receive_nothing,
+    HistoryGone: Mirror._receive_history_gone,
+    Unavailable: Mirror._receive_failure,
 }
--- a/src/chervilwing/neighbours.py
+++ b/src/chervilwing/neighbours.py
@@ -1,6 +1,6 @@
-"""Questions and answers between instances: what the store said, loads, allowances.
+"""Queries and replies between instances: the store's contents, loads, usage.
 
-The first of a group that is alive leads it: it watches the store and adds up figures.
+The first living instance of a group leads it: it watches the store and adds up figures.
 """
 
 import time
@@ -9,120 +9,122 @@
 
 from .clocks import read_boottime
 from .fanout import (
-    ALL_WATCH,
-    HEED_TIME,
-    WATCHERS,
+    ALL_LEADERS_WATCH_AGE,
+    MAX_WATCHERS,
+    REACTION_TIME,
     Fanout,
     arrange,
-    find_interval,
+    compute_query_interval,
     rank,
 )
 from .items import Item
 from .logs import log_event
 from .mirrors import News
 from .tallies import (
-    ADD_EVERY,
-    KEPT,
+    REPORT_TIMEOUT,
+    SUM_INTERVAL,
     Counts,
+    InstanceReport,
     Placements,
-    Tally,
-    Told,
-    Word,
+    ReportReply,
+    ReportSums,
     add_counts,
-    leave_out,
-    read_told,
-    read_word,
+    read_reply,
+    read_report,
+    subtract_counts,
     sum_loads,
 )
 from .usage import name_process
 
 # Kinds of datagrams.
-QUESTION = 1
-ANSWER = 2
-# Seconds by which each place in a group is more patient to take a vacant duty, and the
-# most of it: a claim is known to the others after two questions.
-PATIENCE_STEP = 0.15
-LONGEST_PATIENCE = 1.5
-# Seconds for which an instance that asked this one may be asked in turn: it stops when
-# the lease of one that is cut off lapses, and knows the store's news all the same.
-ASKER_KEPT = 60.0
-# Stands in a question for the group, where another one than its leader is asked.
-HELPER = ""
+QUERY = 1
+REPLY = 2
+# Seconds by which each rank in a group delays its claim of a vacant duty, and the
+# longest delay: a claim is known to the others after two queries.
+CLAIM_DELAY_STEP = 0.15
+MAX_CLAIM_DELAY = 1.5
+# Seconds for which an instance that queried this one may be queried in turn. The lease
+# of an instance that is cut off lapses and it leaves the peers, but it may still know
+# the state of the store.
+QUERIER_LIFETIME = 60.0
+# Replaces the group's name in a query to a fallback, an instance other than the leader.
+FALLBACK = ""
 
 
 def read_news(age, regained, revision, items, more, keys):
-    """Return the News that came in a datagram."""
+    """Return the News decoded from a datagram."""
     if items is not None:
         items = tuple(Item(*item) for item in items)
     return News(age, regained, revision, items, more, keys)
 
 
 class Neighbours(BaseComponent):
-    """Ask the instance that watches the store, and answer those that ask this one."""
+    """Query the instance that watches the store, and answer queries of others."""
 
     channel = "neighbours"
 
-    def __init__(self, cfg, datagrams, coordinator, gateway, parts, agreed):
+    def __init__(self, cfg, datagrams, coordinator, gateway, parts, agreed_time):
         super().__init__()
         self._cfg = cfg
         self._datagrams = datagrams
         self._coordinator = coordinator
         self._gateway = gateway
         self._parts = parts
-        self._agreed = agreed
+        self._agreed_time = agreed_time
         self._groups = {}
-        # Whether others may be told what the store said. Guard: one that lost the store
-        # has it from those that ask it; told back how fresh it is, they would rest, and
-        # all grow old on each other's word.
-        self._vouches = True
+        # Whether replies may contain the state of the store. An instance that lost the
+        # store gets it from its queriers. If it returned that state to them as fresh,
+        # they would stop watching, and all would rely on each other's ageing knowledge.
+        self._shares_store_state = True
         # Mbit/s of all instances' links, by name.
         self._links = {}
         self._group = ""
-        self._arranged = None
-        self._oldest = min(cfg.apply_bound, cfg.leave_bound) - HEED_TIME
-        # The instance that leads this one's group.
-        self._leader = Fanout(self._oldest)
-        # Another one that may know what the store said, where the leader doesn't.
-        self._helper = Fanout(self._oldest)
-        # Who asked this one, or helped it, and from where and when; see _list_helpers.
-        self._askers = {}
-        # One for each other group, asked by those who lead.
+        self._peers_version = None
+        self._max_age = min(cfg.apply_bound, cfg.leave_bound) - REACTION_TIME
+        # Queries to the instance that leads this one's group.
+        self._leader = Fanout(self._max_age)
+        # Queries to a fallback that may know the state of the store where the leader
+        # doesn't.
+        self._fallback = Fanout(self._max_age)
+        # Address and time of the last query from, or fallback reply by, each instance.
+        self._queriers = {}
+        # Queries to each other group; used while this instance leads.
         self._others = {}
-        self._near, self._far = Tally(), Tally()
-        self._near_placed, self._far_placed = Placements(), Placements()
-        self._used_at = float("-inf")
-        # The word of the last question to each group.
-        self._words = {}
-        datagrams.subscribe(QUESTION, self._answer)
-        datagrams.subscribe(ANSWER, self._hear)
+        self._group_sums, self._other_sums = ReportSums(), ReportSums()
+        self._group_placements, self._other_placements = Placements(), Placements()
+        self._applied_at = float("-inf")
+        # The report sent with the last query to each group.
+        self._sent_reports = {}
+        datagrams.subscribe(QUERY, self._receive_query)
+        datagrams.subscribe(REPLY, self._receive_reply)
 
     @handler("tick", channel="*")
     def _on_tick(self):
         now = read_boottime()
-        self._arrange()
-        self._choose(now)
+        self._form_groups()
+        self._choose_targets(now)
         if not self.leads:
-            self._ask(self._group, self._leader, now)
+            self._query(self._group, self._leader, now)
             return
-        self._ask_others(now)
-        self._hear_own(now)
+        self._query_others(now)
+        self._apply_own_report(now)
 
     @property
     def leads(self):
-        """Tell whether this instance leads its group."""
+        """Return whether this instance leads its group."""
         return self._leader.target is None
 
     def list_group(self):
-        """Return the names of this instance's group, in rank."""
-        self._arrange()
+        """Return the names of this instance's group in rank order."""
+        self._form_groups()
         return self._groups[self._group]
 
-    def _arrange(self):
-        """Form the groups anew when instances have come or gone."""
+    def _form_groups(self):
+        """Form the groups again after instances have joined or left."""
         peers = self._coordinator.peers
-        if self._arranged == self._coordinator.peers_version:
+        if self._peers_version == self._coordinator.peers_version:
             return
-        self._arranged = self._coordinator.peers_version
+        self._peers_version = self._coordinator.peers_version
         centres = {self._cfg.data_centre: [self._cfg.name]}
         for name, peer in peers.items():
             centres.setdefault(peer.data_centre, []).append(name)
@@ -132,92 +134,100 @@
             group for group, names in self._groups.items() if self._cfg.name in names
         )
 
-    def _choose(self, now):
-        """Find whom to ask, and whether own calls on the store may rest meanwhile.
+    def _choose_targets(self, now):
+        """Choose whom to query, and whether this instance's own store calls may pause.
 
-        Whom the leader can't tell anything new, since it is cut off from the store,
-        asks those before it in rank; the first of these calls the store itself. Who
-        can't reach the store either asks whoever is in its group.
+        An instance whose leader is cut off from the store queries those before it in
+        rank; the first of these calls the store itself. An instance that can't reach
+        the store itself queries any instance of its group.
         """
         names = self._groups[self._group]
-        place = names.index(self._cfg.name)
-        patience = min(LONGEST_PATIENCE, place * PATIENCE_STEP)
-        self._coordinator.tenure.patience = patience
+        rank_in_group = names.index(self._cfg.name)
+        claim_delay = min(MAX_CLAIM_DELAY, rank_in_group * CLAIM_DELAY_STEP)
+        self._coordinator.tenure.claim_delay = claim_delay
         before = self._leader.target
-        leader = self._leader.choose(names[:place], now)
+        leader = self._leader.choose(names[:rank_in_group], now)
         if leader != before:
             log_event("leader followed", leader=leader or "", was=before or "")
         if leader is None:
-            told = any(self._others[group].fresh for group in self._list_watched())
+            informed = any(
+                self._others[group].fresh for group in self._list_watching_groups()
+            )
         else:
-            told = self._leader.fresh
-        away = self._coordinator.unreachable
-        helped = not told and self._ask_helper(names, place, leader, now)
-        self._coordinator.resting = told or (helped and not away)
-        self._vouches = told or not away
+            informed = self._leader.fresh
+        unreachable = self._coordinator.unreachable
+        fallback_informed = not informed and self._query_fallback(
+            names, rank_in_group, leader, now
+        )
+        self._coordinator.passive = informed or (fallback_informed and not unreachable)
+        self._shares_store_state = informed or not unreachable
 
-    def _ask_helper(self, names, place, leader, now):
-        """Ask for the store's news and tell whether they come.
+    def _query_fallback(self, names, rank_in_group, leader, now):
+        """Query a fallback for the state of the store; return whether it is fresh.
 
-        Load: the store turns a leader away and serves its followers. Harm: all two
-        dozen of them would watch for themselves, 150 calls a second.
+        While the store turns a leader away but serves its followers, all two dozen of
+        them would otherwise watch the store themselves, with 150 calls a second.
         """
         if self._coordinator.unreachable:
-            able = self._list_helpers(names, leader, now)
+            candidates = self._list_fallbacks(names, leader, now)
         else:
-            able = [name for name in names[:place] if leader and name != leader]
-        if self._helper.choose(able, now) is None:
+            candidates = [
+                name for name in names[:rank_in_group] if leader and name != leader
+            ]
+        if self._fallback.choose(candidates, now) is None:
             return False
-        self._ask(HELPER, self._helper, now)
-        return self._helper.fresh
+        self._query(FALLBACK, self._fallback, now)
+        return self._fallback.fresh
 
-    def _list_helpers(self, names, leader, now):
-        """Return who may know the store's news: the group, and whoever asks this one.
+    def _list_fallbacks(self, names, leader, now):
+        """Return who may know the state of the store: the group, and the queriers.
 
-        Guard: a leader that is cut off before it hears of those that started after it
-        knows nobody to ask. It would honour a key that was taken away until it refuses
-        everybody, beside a whole group that knows better and asks it all the while.
+        A leader that is cut off before it learns of instances that started after it
+        knows no peer to query. It would accept a revoked key until it refuses all
+        callers, although a whole group that knows better keeps querying it.
         """
-        askers = [n for n, (_, at) in self._askers.items() if now - at <= ASKER_KEPT]
-        able = dict.fromkeys([*names, *askers])
-        return [name for name in able if name not in (leader, self._cfg.name)]
+        queriers = [
+            n for n, (_, at) in self._queriers.items() if now - at <= QUERIER_LIFETIME
+        ]
+        candidates = dict.fromkeys([*names, *queriers])
+        return [name for name in candidates if name not in (leader, self._cfg.name)]
 
     def _find_address(self, name):
         peer = self._coordinator.peers.get(name)
-        return peer.address if peer else self._askers[name][0]
+        return peer.address if peer else self._queriers[name][0]
 
-    def _list_watched(self):
-        """Return the groups whose leaders tell this one, a leader, the store's news."""
-        if self._oldest <= ALL_WATCH:
+    def _list_watching_groups(self):
+        """Return the groups whose leaders watch the store for this leader."""
+        if self._max_age <= ALL_LEADERS_WATCH_AGE:
             return []
-        asked = {g: self._others[g] for g in self._groups if g in self._others}
-        targets = {item.target: group for group, item in asked.items() if item.target}
-        first = rank([self._cfg.name, *targets], self._links)[:WATCHERS]
+        queried = {g: self._others[g] for g in self._groups if g in self._others}
+        targets = {item.target: group for group, item in queried.items() if item.target}
+        first = rank([self._cfg.name, *targets], self._links)[:MAX_WATCHERS]
         return [] if self._cfg.name in first else [targets[name] for name in first]
 
-    def _ask_others(self, now):
+    def _query_others(self, now):
         for group in self._groups.keys() - {self._group}:
-            fanout = self._others.setdefault(group, Fanout(self._oldest))
+            fanout = self._others.setdefault(group, Fanout(self._max_age))
             if fanout.choose(self._groups[group], now) is not None:
-                self._ask(group, fanout, now)
+                self._query(group, fanout, now)
 
-    def _ask(self, group, fanout, now):
+    def _query(self, group, fanout, now):
         count = len(self._groups[self._group])
         if fanout is not self._leader:
-            # Each of the other leaders asks back.
+            # Each of the other leaders queries this one too.
             count = 2 * len(self._groups)
-        interval = find_interval(count)
+        interval = compute_query_interval(count)
         number = fanout.next_question(now, interval)
         if number is None:
             return
-        word = self._words[group] = self._describe()
-        wanted = group in (self._group, HELPER, *self._list_watched())
-        revisions = self._coordinator.list_revisions() if wanted else None
+        report = self._sent_reports[group] = self._make_report()
+        wants_news = group in (self._group, FALLBACK, *self._list_watching_groups())
+        revisions = self._coordinator.list_revisions() if wants_news else None
         address = self._find_address(fanout.target)
-        self._datagrams.send(QUESTION, (number, group, revisions, word), address)
+        self._datagrams.send(QUERY, (number, group, revisions, report), address)
 
-    def _describe(self):
-        """Return this instance's Word."""
+    def _make_report(self):
+        """Return this instance's InstanceReport."""
         pools = self._gateway.pools
         in_flight = {}
         for pool in pools.values():
@@ -227,137 +237,147 @@
         work = {name: pool.work for name, pool in pools.items() if pool.work}
         answers = dict(self._gateway.rollouts.answers)
         counts = Counts(1, in_flight, work, answers)
-        return Word(
+        return InstanceReport(
             self._cfg.name,
             self._cfg.incarnation,
             self._group,
             time.time(),
             counts,
-            self._parts.list_open(),
-            self._list_placed(),
+            self._parts.list_unstored(),
+            self._list_placements(),
             self._gateway.crashes.list_told(read_boottime()),
         )
 
-    def _list_placed(self):
-        """Return where this instance has sent long prompts of late."""
+    def _list_placements(self):
+        """Return the upstreams to which this instance recently sent long prompts."""
         now = read_boottime()
         pools = self._gateway.pools.values()
         return [item for pool in pools for item in pool.caches.list_recent(now)]
 
-    def _answer(self, address, number, group, revisions, word):
-        """Answer a question, and take the word that came with it."""
+    def _receive_query(self, address, number, group, revisions, report):
+        """Apply the report of a query and send a reply."""
         now = read_boottime()
-        word = read_word(*word)
-        near = word.group == self._group
-        if near:
-            self._askers[word.name] = (address, now)
-        self._agreed.hear(word.name, word.time_of_day, now)
-        self._parts.hear(word, near)
-        self._hear_crashes(word.crashes, now, near)
-        if near:
-            self._near.hear(word.name, word.incarnation, word.counts, now)
-            self._near_placed.hear(word.placements, now)
+        report = read_report(*report)
+        same_group = report.group == self._group
+        if same_group:
+            self._queriers[report.name] = (address, now)
+        self._agreed_time.add_sample(report.name, report.time_of_day, now)
+        self._parts.add_report(report, same_group)
+        self._apply_crashes(report.crashes, now, same_group)
+        if same_group:
+            self._group_sums.add_report(
+                report.name, report.incarnation, report.counts, now
+            )
+            self._group_placements.hear(report.placements, now)
         news = sums = None
-        if revisions is not None and self._vouches:
-            news = self._coordinator.tell(revisions, now)
+        if revisions is not None and self._shares_store_state:
+            news = self._coordinator.list_news(revisions, now)
         if self.leads:
-            sums = self._add_up(now) if near else self._near.measure(now)
+            sums = (
+                self._sum_all(now) if same_group else self._group_sums.compute_sums(now)
+            )
         at = self._parts.read_time()
-        stored = self._parts.list_stored(word)
-        placed = self._near_placed.list(now)
-        if near:
-            placed += self._far_placed.list(now)
+        stored = self._parts.list_stored(report)
+        placements = self._group_placements.list(now)
+        if same_group:
+            placements += self._other_placements.list(now)
         crashes = self._gateway.crashes.list_told(now)
-        told = Told(
+        reply = ReportReply(
             self._cfg.name,
             self._cfg.incarnation,
             at,
             sums,
             stored,
-            placed,
+            placements,
             crashes,
         )
-        fields = (number, group, self._leader.target or "", news, told)
-        self._datagrams.send(ANSWER, fields, address)
+        fields = (number, group, self._leader.target or "", news, reply)
+        self._datagrams.send(REPLY, fields, address)
 
-    def _add_up(self, now):
+    def _sum_all(self, now):
         """Return the figures of all instances."""
-        return add_counts(self._near.measure(now), self._far.measure(now))
+        return add_counts(
+            self._group_sums.compute_sums(now), self._other_sums.compute_sums(now)
+        )
 
-    def _hear(self, address, number, group, leader, news, told):
-        """Take an answer."""
+    def _receive_reply(self, address, number, group, leader, news, reply):
+        """Apply a reply."""
         now = read_boottime()
         fanout = self._find_fanout(group)
         if fanout is None:
             return
         news = [None if item is None else read_news(*item) for item in news or ()]
-        age = self._coordinator.find_age(news) if news else float("inf")
+        age = self._coordinator.compute_age(news) if news else float("inf")
         more = any(item is not None and item.more for item in news)
-        asked = fanout.receive(number, age, more, now)
-        if asked is None:
+        query = fanout.receive(number, age, more, now)
+        if query is None:
             return
         if news:
-            self._coordinator.learn(news, asked.at, now)
-        told = read_told(*told)
-        word = self._words[group]
-        self._learn_placed(told.placements)
-        self._hear_crashes(told.crashes, now)
-        self._parts.note_stored(word, told.stored)
-        if fanout is self._helper:
-            self._askers[asked.name] = (address, now)
-            if not fanout.fresh or not self._is_of_use(news):
-                fanout.pass_over(now)
-        elif told.sums is None:
+            self._coordinator.apply_news(news, query.at, now)
+        reply = read_reply(*reply)
+        report = self._sent_reports[group]
+        self._apply_placements(reply.placements)
+        self._apply_crashes(reply.crashes, now)
+        self._parts.mark_stored(report, reply.stored)
+        if fanout is self._fallback:
+            self._queriers[query.name] = (address, now)
+            if not fanout.fresh or not self._is_sufficient(news):
+                fanout.avoid_target(now)
+        elif reply.sums is None:
             fanout.prefer(leader, now)
         elif fanout is self._leader:
-            self._agreed.adopt(told.time_of_day, now)
-            others = leave_out(told.sums, word.counts)
-            self._use((told.name, told.incarnation), others, now)
+            self._agreed_time.adopt(reply.time_of_day, now)
+            others = subtract_counts(reply.sums, report.counts)
+            self._apply_sums((reply.name, reply.incarnation), others, now)
         else:
-            self._agreed.hear(told.name, told.time_of_day, now)
-            self._far_placed.hear(told.placements, now)
-            self._far.hear((group, told.name), told.incarnation, told.sums, now)
-
-    def _is_of_use(self, news):
-        """Tell whether a helper's news say all that this instance can't ask itself."""
+            self._agreed_time.add_sample(reply.name, reply.time_of_day, now)
+            self._other_placements.hear(reply.placements, now)
+            self._other_sums.add_report(
+                (group, reply.name), reply.incarnation, reply.sums, now
+            )
+
+    def _is_sufficient(self, news):
+        """Return whether a fallback's news suffices where the store is unreachable."""
         listed = all(item is None or item.items is not None for item in news)
         return listed or not self._coordinator.unreachable
 
-    def _hear_crashes(self, crashes, now, near=False):
+    def _apply_crashes(self, crashes, now, same_group=False):
         for news in crashes:
-            self._gateway.crashes.hear(news, now, near)
+            self._gateway.crashes.hear(news, now, same_group)
 
-    def _learn_placed(self, placements):
+    def _apply_placements(self, placements):
         for pool in self._gateway.pools.values():
             pool.learn(placements)
 
     def _find_fanout(self, group):
-        if group == HELPER:
-            return self._helper
+        if group == FALLBACK:
+            return self._fallback
         return self._leader if group == self._group else self._others.get(group)
 
-    def _hear_own(self, now):
-        """Take the figures of all instances as they were told to this one."""
-        if now - self._used_at < ADD_EVERY:
+    def _apply_own_report(self, now):
+        """Apply the figures of all instances, as they were reported to this leader."""
+        if now - self._applied_at < SUM_INTERVAL:
             return
-        self._used_at = now
-        word = self._describe()
-        self._near_placed.hear(word.placements, now)
-        self._learn_placed(self._near_placed.list(now))
-        self._parts.hear(word, near=True)
-        self._near.hear(word.name, word.incarnation, word.counts, now)
+        self._applied_at = now
+        report = self._make_report()
+        self._group_placements.hear(report.placements, now)
+        self._apply_placements(self._group_placements.list(now))
+        self._parts.add_report(report, same_group=True)
+        self._group_sums.add_report(report.name, report.incarnation, report.counts, now)
         source = (self._cfg.name, self._cfg.incarnation)
-        self._use(source, leave_out(self._add_up(now), word.counts), now)
+        self._apply_sums(
+            source, subtract_counts(self._sum_all(now), report.counts), now
+        )
 
-    def _use(self, source, others, now):
-        """Let decisions count with what the others have in flight."""
-        until = now + KEPT
+    def _apply_sums(self, source, others, now):
+        """Pass the other instances' loads and work on to the pools."""
+        until = now + REPORT_TIMEOUT
         loads = sum_loads(others.in_flight.values())
         placed_here = name_process(self._cfg.name, self._cfg.incarnation)
-        unplaced = sum_loads(
+        placed_elsewhere = sum_loads(
             loads for placer, loads in others.in_flight.items() if placer != placed_here
         )
         self._gateway.rollouts.hear(source, others.answers)
         for name, pool in self._gateway.pools.items():
             pool.peers_work = {source: (source[1], others.work.get(name, 0.0))}
-            pool.hear(loads, until, unplaced)
+            pool.hear(loads, until, placed_elsewhere)
--- a/src/chervilwing/tallies.py
+++ b/src/chervilwing/tallies.py
@@ -1,8 +1,8 @@
-"""What instances spend and have in flight, added up by the one that the others ask.
+"""Sums of what instances have worked and have in flight, computed by each leader.
 
-Each instance tells totals since its start, so that a word that is lost or comes twice
-changes nothing. Added up on the way, they reach everyone in as many messages as there
-are instances; told by each to each, they would be the square of it.
+Each instance reports totals since its start, so that a lost or duplicated report
+changes nothing. Leaders add the reports up, so all figures reach every instance in as
+many messages as there are instances; direct exchange would take the square of it.
 """
 
 from types import MappingProxyType
@@ -13,11 +13,12 @@
 from .prompt_caches import TOLD_FOR, Placement
 from .stations import NOTHING, InFlight, add_loads
 
-# Seconds between two sums of all loads. Load: dozens of questions a second to one
-# instance. Harm: each would add up the same anew.
-ADD_EVERY = 0.1
-# Seconds for which a word counts: three questions in a row are not lost by chance.
-KEPT = 1.5
+# Seconds between two sums of all loads: a leader receives dozens of queries a second,
+# and need not add up the same reports for each of them.
+SUM_INTERVAL = 0.1
+# Seconds for which a report counts: three reports in a row are hardly ever lost by
+# chance.
+REPORT_TIMEOUT = 1.5
 
 
 NO_TOTALS = MappingProxyType({})
@@ -26,10 +27,10 @@
 class Counts(NamedTuple):
     """Figures of one or more instances.
 
-    ``work`` is engine seconds by pool since the start of who tells them, and so are
-    the ``answers`` of versions that are tried, by name. ``in_flight`` is by upstream,
-    at this moment, for each process that chose the upstreams; an empty text stands for
-    those that chose for themselves.
+    ``work`` is engine seconds by pool, and ``answers`` the answers of versions in a
+    roll-out by name, both since the start of the reporting process. ``in_flight`` is
+    the present load by upstream, for each process that chose the upstreams (the
+    placer); an empty name stands for instances that chose themselves.
     """
 
     instances: int
@@ -38,13 +39,13 @@
     answers: dict[str, float] = NO_TOTALS
 
 
-class Word(NamedTuple):
-    """What one process says of itself.
+class InstanceReport(NamedTuple):
+    """One process's report of its own state.
 
-    ``group`` are the instances that ask the same one. ``usage`` has the counts of
-    requests that aren't stored yet, by window and organisation. ``placements`` are the
-    long prompts that it sent of late, and where; ``crashes`` is what it knows of
-    requests that crashed upstreams of late.
+    ``group`` names the instances that query the same leader. ``usage`` has the counts
+    of requests that aren't stored yet, by window and organisation. ``placements`` are
+    the upstreams to which it recently sent long prompts, ``crashes`` what it recently
+    learned of requests that crash upstreams.
     """
 
     name: str
@@ -57,12 +58,13 @@
     crashes: list[CrashNews]
 
 
-class Told(NamedTuple):
-    """What one process tells those that asked it.
+class ReportReply(NamedTuple):
+    """One process's reply to a report.
 
-    ``sums`` are None where it leads nobody, ``stored`` the windows of usage of which it
-    stored what the asker said, ``placements`` where others have sent long prompts;
-    ``crashes`` is what it knows of late of requests that crash upstreams.
+    ``sums`` are None where it leads no group. ``stored`` are the windows of usage for
+    which it stored the reported counts, ``placements`` the upstreams to which others
+    recently sent long prompts, ``crashes`` what it recently learned of requests that
+    crash upstreams.
     """
 
     name: str
@@ -74,43 +76,45 @@
     crashes: list[CrashNews]
 
 
-def read_told(name, incarnation, time_of_day, sums, stored, placements, crashes=()):
-    """Return the Told that came in a datagram; older processes tell no crashes."""
+def read_reply(name, incarnation, time_of_day, sums, stored, placements, crashes=()):
+    """Return the ReportReply of a datagram; older processes send no crashes."""
     sums = None if sums is None else read_counts(*sums)
     placements = read_placements(placements)
     crashes = read_crash_news(crashes)
-    return Told(name, incarnation, time_of_day, sums, stored, placements, crashes)
+    return ReportReply(
+        name, incarnation, time_of_day, sums, stored, placements, crashes
+    )
 
 
-def read_word(
+def read_report(
     name, incarnation, group, time_of_day, counts, usage, placements, crashes=()
 ):
-    """Return the Word that came in a datagram; older processes tell no crashes."""
+    """Return the InstanceReport of a datagram; older processes send no crashes."""
     counts = read_counts(*counts)
     placements = read_placements(placements)
     crashes = read_crash_news(crashes)
-    return Word(
+    return InstanceReport(
         name, incarnation, group, time_of_day, counts, usage, placements, crashes
     )
 
 
 def read_crash_news(values):
-    """Return the CrashNews that came in a datagram, or raise ValueError."""
+    """Return the CrashNews decoded from a datagram, or raise ValueError."""
     news = [CrashNews(*value) for value in values]
     sizes = {len(bytes.fromhex(item.fingerprint)) for item in news}
-    # Nothing stands for all requests.
+    # An empty fingerprint stands for all requests.
     if not sizes <= {0, REPEAT_SIZE}:
-        raise ValueError("a fingerprint of another length")
+        raise ValueError("a fingerprint has the wrong length")
     return news
 
 
 def read_placements(values):
-    """Return the Placements that came in a datagram."""
+    """Return the Placements decoded from a datagram."""
     return [Placement(*value) for value in values]
 
 
 def read_counts(instances, in_flight, work, answers):
-    """Return the Counts that came in a datagram."""
+    """Return the Counts decoded from a datagram."""
     read = {
         placer: {name: InFlight(*load) for name, load in loads.items()}
         for placer, loads in in_flight.items()
@@ -119,7 +123,7 @@
 
 
 def add_counts(one, other):
-    """Return the figures of both together."""
+    """Return the sum of two Counts."""
     in_flight = dict(one.in_flight)
     for placer, loads in other.in_flight.items():
         in_flight[placer] = sum_loads([in_flight.get(placer, {}), loads])
@@ -132,7 +136,7 @@
 
 
 def sum_loads(several):
-    """Return the sums by upstream."""
+    """Return the summed loads by upstream."""
     total = {}
     for loads in several:
         for name, load in loads.items():
@@ -141,15 +145,15 @@
 
 
 def add_totals(one, other):
-    """Return the sums by name."""
+    """Return the sums of two mappings of totals by name."""
     total = dict(one)
     for name, value in other.items():
         total[name] = total.get(name, 0.0) + value
     return total
 
 
-def leave_out(counts, own):
-    """Return the figures of all others than the one whose figures ``own`` are."""
+def subtract_counts(counts, own):
+    """Return the Counts without the part of the instance whose figures ``own`` are."""
     in_flight = {
         placer: subtract_loads(loads, own.in_flight.get(placer, {}))
         for placer, loads in counts.in_flight.items()
@@ -160,12 +164,12 @@
 
 
 def subtract_totals(totals, own):
-    """Return what is left of totals by name."""
+    """Return totals by name less an instance's own."""
     return {name: value - own.get(name, 0.0) for name, value in totals.items()}
 
 
 def subtract_loads(loads, own):
-    """Return what is left of loads by upstream, nothing below zero."""
+    """Return loads by upstream less an instance's own, none below zero."""
     left = {}
     for name, load in loads.items():
         mine = own.get(name, NOTHING)
@@ -175,82 +179,83 @@
     return left
 
 
-EMPTY = Counts(0, {}, {})
+NO_COUNTS = Counts(0, {}, {})
 
 
-class Tally:
-    """Sums over those who tell their figures; times are seconds on one clock.
+class ReportSums:
+    """Sums over the reports of several processes; times are seconds on one clock.
 
-    Work grows by the differences between two words of one speaker: the first word of an
-    unknown one tells of a past that is no news. Of a word that comes after more than
-    KEPT, the part counts in which its speaker was still taken to be heard.
+    Work grows by the difference between two reports of one process; the first report of
+    an unknown process adds nothing. If a report comes more than REPORT_TIMEOUT after
+    the last one, only the fraction of the difference counts for which the process still
+    counted as alive.
 
-    Guard: a leader that was cut off leads again. What its speakers worked meanwhile
-    they told another one, who told everybody; grown by it, the sums would jump by half
-    a minute of all work, and eleven times the instances be ordered that it needed.
-    Guard: in a burst a small instance asks two seconds late. Passed over whole, too few
-    instances would be ordered when most are needed.
+    The rest was reported to another leader, whose sums reached all instances. If a
+    leader that leads again after a partition added it, the sums would jump by half a
+    minute of all work, and eleven times the needed instances would be ordered. Ignoring
+    late reports altogether would be wrong too: in a burst a small instance reports two
+    seconds late, and too few instances would be ordered when most are needed.
     """
 
     def __init__(self):
-        self._last = {}
+        self._last_reports = {}
         self._until = {}
         self._work = {}
         self._answers = {}
-        self._loads = EMPTY
-        self._added_at = float("-inf")
-
-    def hear(self, speaker, incarnation, counts, now):
-        """Take a speaker's figures; its load counts for KEPT."""
-        if speaker in self._last:
-            known, before = self._last[speaker]
-            # A restarted process counts from nothing.
-            before = before if known == incarnation else EMPTY
-            gap = now - (self._until[speaker] - KEPT)
-            part = KEPT / max(KEPT, gap)
-            grow(self._work, before.work, counts.work, part)
-            # Each counts once, however late its word comes.
+        self._loads = NO_COUNTS
+        self._summed_at = float("-inf")
+
+    def add_report(self, reporter, incarnation, counts, now):
+        """Apply a process's report; its load counts for REPORT_TIMEOUT."""
+        if reporter in self._last_reports:
+            last_incarnation, before = self._last_reports[reporter]
+            # A restarted process counts from zero.
+            before = before if last_incarnation == incarnation else NO_COUNTS
+            gap = now - (self._until[reporter] - REPORT_TIMEOUT)
+            fraction = REPORT_TIMEOUT / max(REPORT_TIMEOUT, gap)
+            grow(self._work, before.work, counts.work, fraction)
+            # Each answer counts once, however late its report comes.
             grow(self._answers, before.answers, counts.answers, 1.0)
-        self._last[speaker] = (incarnation, counts)
-        self._until[speaker] = now + KEPT
+        self._last_reports[reporter] = (incarnation, counts)
+        self._until[reporter] = now + REPORT_TIMEOUT
 
-    def measure(self, now):
-        """Return the sums over all that were heard of late.
+    def compute_sums(self, now):
+        """Return the sums over all processes that reported recently.
 
-        The loads are those of ADD_EVERY ago at most, all else is of now.
+        The loads are at most SUM_INTERVAL seconds old, the other figures current.
         """
-        if now - self._added_at >= ADD_EVERY:
-            self._added_at = now
-            self._loads = EMPTY
-            for speaker, (_, counts) in self._last.items():
-                if now < self._until[speaker]:
+        if now - self._summed_at >= SUM_INTERVAL:
+            self._summed_at = now
+            self._loads = NO_COUNTS
+            for reporter, (_, counts) in self._last_reports.items():
+                if now < self._until[reporter]:
                     loads = counts._replace(work={}, answers={})
                     self._loads = add_counts(self._loads, loads)
         return self._loads._replace(work=dict(self._work), answers=dict(self._answers))
 
 
-def grow(total, before, now, part):
-    """Add to ``total`` a part of the difference between two words.
+def grow(total, before, now, fraction):
+    """Add to ``total`` a fraction of the difference between two reports.
 
-    An older word that comes late takes away what the next one adds again.
+    A reordered older report subtracts what the next report adds again.
     """
     for name, value in now.items():
         gained = value - before.get(name, 0.0)
-        total[name] = total.get(name, 0.0) + gained * part
+        total[name] = total.get(name, 0.0) + gained * fraction
 
 
 class Placements:
-    """Where others have sent long prompts of late; times are seconds on one clock."""
+    """Upstreams to which others recently sent long prompts; times are seconds."""
 
     def __init__(self):
         self._until = {}
 
     def hear(self, placements, now):
-        """Take what somebody told; told again it stays no longer."""
+        """Record reported placements; repeated reports don't extend their lifetime."""
         for placement in placements:
             self._until.setdefault(placement, now + TOLD_FOR)
 
     def list(self, now):
-        """Return those of late."""
+        """Return the recent placements."""
         self._until = {item: at for item, at in self._until.items() if now < at}
         return list(self._until)
--- a/src/chervilwing/tenures.py
+++ b/src/chervilwing/tenures.py
@@ -1,7 +1,7 @@
-"""Who holds a duty: one instance at a time, by a lease and a fencing number.
+"""The hold of a duty: one instance at a time, by a lease and a fencing number.
 
 The holder creates one key under its lease. The key's revision is the fencing number:
-the store counts revisions upwards, so that every later holder has a higher one.
+revisions of the store only grow, so every later holder has a higher one.
 """
 
 from typing import NamedTuple
@@ -17,78 +17,80 @@
     Unavailable,
 )
 
-# Part of the lease after which it is renewed, and part after which its holder no longer
-# acts on it: the rest covers a call that is on its way and the drift of two clocks.
-RENEW_PART = 0.3
-TRUST_PART = 0.7
-# Seconds between tries after a failure, spread so that instances don't meet.
-RETRY_WAIT = 0.5
+# Fractions of the lease after which it is renewed, and after which its holder no longer
+# acts on it: the rest covers a call in transit and the drift of two clocks.
+RENEW_FRACTION = 0.3
+TRUST_FRACTION = 0.7
+# Mean seconds between two tries after a failure, randomised so that instances don't
+# retry together.
+RETRY_INTERVAL = 0.5
 
 
 class Record(NamedTuple):
-    """The key and value under which an instance is found by the others."""
+    """The key and value by which other instances find this one."""
 
     key: str
     value: bytes
 
 
-class Tenure:
-    """State of one instance's part in a duty; times are seconds on one clock.
+class DutyLease:
+    """State of one instance's claim to a duty; times are seconds on one clock.
 
-    The same lease carries the instance's own record. ``patience`` is for how many
-    seconds a vacant duty is left to others. Load: hundreds of instances see the end of
-    a holder at once. Harm: each writes, and all but one in vain.
+    The same lease carries the instance's own record. ``claim_delay`` is for how many
+    seconds this instance leaves a vacant duty to others. When a holder ends, hundreds
+    of instances see it at once; if each claimed the duty, all writes but one would be
+    in vain.
 
-    The clock must go on while the machine is suspended: on one that stands still, a
-    holder would wake and act under a lease that lapsed while it slept.
+    The clock must include suspended time: otherwise a resumed holder would act under a
+    lease that lapsed during the suspension.
     """
 
     def __init__(self, key, record, name, ttl, rng):
         self.key = key
         self.lease = None
         self._record = record
-        self._enlisted = False
+        self._record_written = False
         self._vacant = False
         self._vacant_since = None
-        self.patience = 0.0
+        self.claim_delay = 0.0
         self._name = name
         self._ttl = ttl
         self._rng = rng
         self._call = None
-        self._until = float("-inf")
+        self._trusted_until = float("-inf")
         self._fence = 0
-        self._sent = None
-        self._due = 0.0
+        self._sent_at = None
+        self._next_call_at = 0.0
         self._renew_at = 0.0
-        self._acted = float("-inf")
-        self._acted_fence = 0
+        self._last_act_at = float("-inf")
+        self._last_act_fence = 0
 
     def fence(self, now):
         """Return the fencing number to act under now, or None.
 
-        Guard: after the duty went to another instance and came back, the platform may
-        see the holders in the order A, B, A; a returning holder waits until its own
-        last act under the older number is a whole lease ago.
+        If the duty went to another instance and came back, the platform could see the
+        holders in the order A, B, A. A returning holder therefore waits until its last
+        act under the older number is a whole lease ago.
         """
-        if not self._fence or now >= self._until:
+        if not self._fence or now >= self._trusted_until:
             return None
-        if self._acted_fence != self._fence and now < self._acted + self._ttl:
+        if self._last_act_fence != self._fence and now < self._last_act_at + self._ttl:
             return None
         return self._fence
 
     def note_act(self, now):
-        """Take note of a call that was made under the present number."""
-        self._acted, self._acted_fence = now, self._fence
+        """Record a call that was made under the present fencing number."""
+        self._last_act_at, self._last_act_fence = now, self._fence
 
     def drop(self):
-        """Give the duty up after somebody with a higher number was seen."""
+        """Give the duty up after a higher fencing number was seen."""
         self._fence = 0
 
     def observe(self, item, revision):
-        """Take the duty's key as of a revision of the store, None if there is none.
+        """Apply the duty's key as of a revision of the store, None if there is none.
 
-        Guard: what is known of the key may be older than our own claim; taken for
-        news, it would end a tenure that has just begun.
+        An observation may be older than this instance's own claim, and must not end a
+        hold that has just begun.
         """
         if revision < self._fence:
             return
@@ -96,26 +98,26 @@
             self._fence = 0
         if item is not None and self.lease is not None:
             owner, _, lease = item.value.decode().rpartition("/")
-            # A claim whose answer was lost took effect all the same.
+            # A claim whose reply was lost took effect all the same.
             if owner == self._name and lease == str(self.lease):
                 self._fence = item.revision
         self._vacant = item is None
 
     def next_call(self, now):
         """Return the call to make now, or None."""
-        if self._sent is not None or now < self._due:
+        if self._sent_at is not None or now < self._next_call_at:
             return None
-        call = self._choose(now)
+        call = self._choose_call(now)
         if call is not None:
-            self._sent, self._call = now, call
+            self._sent_at, self._call = now, call
         return call
 
-    def _choose(self, now):
+    def _choose_call(self, now):
         if self.lease is None:
             return TakeLease(self._ttl)
         if now >= self._renew_at:
             return KeepLease(self.lease)
-        if not self._enlisted:
+        if not self._record_written:
             put = (self._record.key, self._record.value, self.lease)
             return Commit(puts=(put,))
         if self._may_claim(now):
@@ -130,44 +132,47 @@
             return False
         if self._vacant_since is None:
             self._vacant_since = now
-        return now < self._until and now - self._vacant_since >= self.patience
+        return (
+            now < self._trusted_until and now - self._vacant_since >= self.claim_delay
+        )
 
     def receive(self, reply, now):
-        """Take the answer to the last call."""
-        sent, self._sent = self._sent, None
-        RECEIVERS[type(reply)](self, reply, sent, now)
+        """Apply the reply to the last call."""
+        sent_at, self._sent_at = self._sent_at, None
+        RECEIVERS[type(reply)](self, reply, sent_at, now)
 
-    def _receive_leased(self, reply, sent, now):
+    def _receive_leased(self, reply, sent_at, now):
         self.lease = reply.lease
-        # From the sending, not from the answer: the store counts from the arrival.
-        self._until = sent + reply.ttl * TRUST_PART
-        self._renew_at = sent + reply.ttl * RENEW_PART
+        # The lease counts from the call's arrival at the store, so its sending is the
+        # safe start.
+        self._trusted_until = sent_at + reply.ttl * TRUST_FRACTION
+        self._renew_at = sent_at + reply.ttl * RENEW_FRACTION
 
-    def _receive_gone(self, reply, sent, now):
+    def _receive_lease_gone(self, reply, sent_at, now):
         self.lease = None
-        self._enlisted = False
+        self._record_written = False
         self._fence = 0
-        self._until = float("-inf")
+        self._trusted_until = float("-inf")
 
-    def _receive_claimed(self, reply, sent, now):
+    def _receive_committed(self, reply, sent_at, now):
         if not self._call.expect:
-            self._enlisted = True
+            self._record_written = True
             return
         self._fence = reply.revision
         self._vacant = False
 
-    def _receive_taken(self, reply, sent, now):
+    def _receive_conflict(self, reply, sent_at, now):
         self._vacant = False
-        self._receive_nothing(reply, sent, now)
+        self._receive_failure(reply, sent_at, now)
 
-    def _receive_nothing(self, reply, sent, now):
-        self._due = now + RETRY_WAIT * self._rng.uniform(0.5, 1.5)
+    def _receive_failure(self, reply, sent_at, now):
+        self._next_call_at = now + RETRY_INTERVAL * self._rng.uniform(0.5, 1.5)
 
 
 RECEIVERS = {
-    Leased: Tenure._receive_leased,
-    LeaseGone: Tenure._receive_gone,
-    Committed: Tenure._receive_claimed,
-    Conflict: Tenure._receive_taken,
-    Unavailable: Tenure._receive_nothing,
+    Leased: DutyLease._receive_leased,
+    LeaseGone: DutyLease._receive_lease_gone,
+    Committed: DutyLease._receive_committed,
+    Conflict: DutyLease._receive_conflict,
+    Unavailable: DutyLease._receive_failure,
 }
--- a/src/chervilwing/usage.py
+++ b/src/chervilwing/usage.py
@@ -1,12 +1,12 @@
-"""How many requests of each organisation began to run, by window of time."""
+"""Counts of the requests that began to run, by organisation and window of time."""
 
 import json
 from collections import Counter
 from typing import NamedTuple
 
-# Windows kept that couldn't be written: longer than the store's usual outages, and
-# useless afterwards, since a late report is worth nothing.
-WINDOWS_KEPT = 12
+# Windows kept while they can't be written: longer than usual outages of the store. A
+# later report would be useless.
+MAX_WINDOWS = 12
 
 
 def name_process(name, incarnation):
@@ -15,14 +15,14 @@
 
 
 class Report(NamedTuple):
-    """The counts of one window, as they were decided once and for all."""
+    """The final counts of one window, by organisation."""
 
     window: int
     counts: dict[str, int]
 
 
 class UsageCounter:
-    """Counts of this process; times are Unix seconds."""
+    """Counts of this process; times are Unix seconds, ``length`` a window's seconds."""
 
     def __init__(self, length):
         self.length = length
@@ -34,22 +34,22 @@
         """Count one request that began to run."""
         window = int(at // self.length)
         self._windows.setdefault(window, Counter())[organisation] += 1
-        # One that was counted late: what is stored of the window is no longer true.
+        # After a late count, the stored counts of the window are out of date.
         self._stored.discard(window)
 
     def begin(self, now):
-        """Start with the window that is open now."""
+        """Start counting with the present window."""
         self._first = int(now // self.length)
 
-    def list_open(self, now):
-        """Return the counts that aren't stored yet, by window, this moment's last.
+    def list_unstored(self, now):
+        """Return the counts that aren't stored yet, by window, up to the present one.
 
-        A window in which nothing ran has counts too: they tell that nothing is missing.
+        A window without requests has empty counts, which show that none is missing.
         """
         if self._first is None:
             return {}
         last = int(now // self.length)
-        self._first = max(self._first, last - WINDOWS_KEPT)
+        self._first = max(self._first, last - MAX_WINDOWS)
         for window in [item for item in self._windows if item < self._first]:
             del self._windows[window]
         self._stored = {window for window in self._stored if window >= self._first}
@@ -60,38 +60,42 @@
             if window not in self._stored
         }
 
-    def note_stored(self, window, counts):
-        """Take note that these counts of a window that has ended are stored."""
+    def mark_stored(self, window, counts):
+        """Record that these counts of an ended window are stored."""
         if self._windows.get(window, {}) == counts:
             self._stored.add(window)
 
 
-class HeardCounts:
+class ReceivedCounts:
     """The counts of several processes, by window and process.
 
-    Guard: an instance that dies, or is cut off from the store, would take its counts of
-    up to a window with it, and the report be off by its share of the requests.
+    If an instance kept its counts to itself and died or lost the store, up to one
+    window of them would be lost, and the report would lack its share of the requests.
     """
 
     def __init__(self):
         self._counts = {}
 
-    def hear(self, process, windows):
-        """Take the counts that a process has not stored yet, by window."""
+    def add(self, process, windows):
+        """Add the counts that a process has not stored yet, by window."""
         for window, counts in windows.items():
-            heard = self._counts.setdefault(window, {})
-            # Datagrams overtake each other, and counts never fall.
-            heard[process] = larger(heard.get(process, {}), counts)
-        for old in sorted(self._counts)[:-WINDOWS_KEPT]:
+            by_process = self._counts.setdefault(window, {})
+            # Datagrams may be reordered, and counts never fall.
+            by_process[process] = choose_larger(by_process.get(process, {}), counts)
+        for old in sorted(self._counts)[:-MAX_WINDOWS]:
             del self._counts[old]
 
     def count(self):
-        """Return how many requests others have told of, in all windows kept."""
-        told = (counts for heard in self._counts.values() for counts in heard.values())
-        return sum(sum(counts.values()) for counts in told)
+        """Return the number of requests reported here, in all kept windows."""
+        reported = (
+            counts
+            for by_process in self._counts.values()
+            for counts in by_process.values()
+        )
+        return sum(sum(counts.values()) for counts in reported)
 
     def list_windows(self):
-        """Return the windows of which anything was heard, the oldest first."""
+        """Return the windows that have counts, the oldest first."""
         return sorted(self._counts)
 
     def find(self, window):
@@ -99,26 +103,26 @@
         return self._counts.get(window, {})
 
 
-def larger(one, other):
-    """Return the counts that have more of the same process and window."""
+def choose_larger(one, other):
+    """Return the larger of two counts of the same process and window."""
     return one if sum(one.values()) > sum(other.values()) else other
 
 
-def merge(parts):
-    """Return counts by process; of those that stand twice, the larger ones.
+def merge_counts(parts):
+    """Return counts by process; where a process occurs twice, its larger counts.
 
-    Guard: an instance's counts may be stored by two that it told, one after the other;
-    added up they would count twice.
+    Two instances may store the same process's counts one after the other; added up,
+    they would count twice.
     """
     merged = {}
     for part in parts:
         for process, counts in part.items():
-            merged[process] = larger(merged.get(process, {}), counts)
+            merged[process] = choose_larger(merged.get(process, {}), counts)
     return merged
 
 
-def add_up(parts):
-    """Return the sums of several instances' counts."""
+def sum_counts(parts):
+    """Return the sums of several processes' counts."""
     total = Counter()
     for counts in parts:
         total.update(counts)
@@ -136,11 +140,11 @@
 
 
 def encode_report(report):
-    """Return a decided report as bytes for the store."""
+    """Return a Report as bytes for the store."""
     return json.dumps({"window": report.window, "counts": report.counts}).encode()
 
 
 def decode_report(value):
-    """Return a decided report from the store's bytes."""
+    """Return the Report of the store's bytes."""
     value = json.loads(value)
     return Report(value["window"], value["counts"])
--- a/src/chervilwing/usage_reports.py
+++ b/src/chervilwing/usage_reports.py
@@ -1,4 +1,4 @@
-"""Store this instance's counts of usage, and report all of them as the holder."""
+"""Storing of this instance's usage counts, and reporting of all instances' counts."""
 
 import time
 
@@ -9,160 +9,167 @@
 from .items import Commit, Committed, Conflict, ListItems, Page
 from .logs import log_event
 from .usage import (
-    WINDOWS_KEPT,
-    HeardCounts,
+    MAX_WINDOWS,
+    ReceivedCounts,
     Report,
     UsageCounter,
-    add_up,
     decode_counts,
     decode_report,
     encode_counts,
     encode_report,
-    merge,
+    merge_counts,
     name_process,
+    sum_counts,
 )
 
 PARTS = "chervilwing/usage-parts/"
 REPORT = "chervilwing/usage-report"
-# Seconds after a window's end at which the counts of a group are written: the last ones
-# that it was told are of this moment at least, and clocks are less than this apart.
-WRITE_LAG = 0.9
-# Seconds after a window's end from which the counts are added up, and after which those
-# that are still missing are given up: a report is due ten seconds after the end.
-COLLECT_LAG = 1.5
-PATIENCE = 6.5
-HEARD_PATIENCE = 3.5
-# Seconds between two tries of a call that failed.
-RETRY_WAIT = 0.5
-# Seconds after a window's end for which counts that changed are written once more.
-REWRITE_FOR = 10.0
-# Windows that are reported late at most, once nobody reported for long.
-LATE_WINDOWS = 4
-# Entries that one commit may have, less those that aren't deletions.
-DELETES = 29
-
-
-def read_names(processes):
-    """Return the instances whose processes these are."""
+# Seconds after a window's end at which the counts of a group are written: by then the
+# last counts have been reported, and clocks differ by less than this.
+WRITE_DELAY = 0.9
+# Seconds after a window's end from which the counts are added up, and after which
+# missing ones are given up. The shorter timeout applies where only instances are
+# missing whose counts were reported to this one. A report is due ten seconds after the
+# end.
+COLLECT_DELAY = 1.5
+MISSING_TIMEOUT = 6.5
+REPORTED_TIMEOUT = 3.5
+# Seconds between two tries of a failed call.
+RETRY_INTERVAL = 0.5
+# Seconds after a window's end for which changed counts are written again.
+REWRITE_WINDOW = 10.0
+# Maximum number of windows that are reported late, after a time without any report.
+MAX_LATE_WINDOWS = 4
+# Maximum number of deletions in one commit: the store's limit of entries less the
+# commit's other entries.
+MAX_DELETES = 29
+
+
+def list_instance_names(processes):
+    """Return the names of the instances to which these processes belong."""
     return {process.rpartition(".")[0] for process in processes}
 
 
 class UsageParts(BaseComponent):
-    """Count what runs here, and store it with what other instances told.
+    """Count requests that run here, and store the counts with those of other instances.
 
-    ``stores`` tells whether this instance stores; another one does for those that only
-    tell their counts.
+    ``stores`` returns whether this instance stores; otherwise it only reports its
+    counts to another one that does.
     """
 
     channel = "usage-parts"
 
-    def __init__(self, cfg, store, agreed):
+    def __init__(self, cfg, store, agreed_time):
         super().__init__()
         self.counter = UsageCounter(cfg.usage_window)
         self.stores = lambda: True
         self._store = store
-        self._agreed = agreed
-        # One process's counts never replace those of the one before it.
-        self._name = name_process(cfg.name, cfg.incarnation)
-        # Of those for whom this one stores, itself among them, and of others.
-        self._near = HeardCounts()
-        self._far = HeardCounts()
+        self._agreed_time = agreed_time
+        # A process's counts never replace those of the previous process.
+        self._process = name_process(cfg.name, cfg.incarnation)
+        # Counts of the instances for which this one stores, itself included, and of
+        # others.
+        self._group_counts = ReceivedCounts()
+        self._other_counts = ReceivedCounts()
         self._stored = {}
-        self._writing = 0
-        self._due = 0.0
+        self._pending_writes = 0
+        self._retry_at = 0.0
 
     def read_time(self):
-        """Return the time of day that the instances agree on."""
-        return self._agreed.read(time.time(), read_boottime())
+        """Return the Unix time in seconds that the instances agree on."""
+        return self._agreed_time.read(time.time(), read_boottime())
 
     def count(self, organisation, seconds_ago):
-        """Count a request that began to run so many seconds ago."""
+        """Count a request that began to run ``seconds_ago``."""
         self.counter.count(organisation, self.read_time() - seconds_ago)
 
-    def list_open(self):
+    def list_unstored(self):
         """Return this instance's counts that aren't stored yet."""
-        return self.counter.list_open(self.read_time())
+        return self.counter.list_unstored(self.read_time())
 
-    def hear(self, word, near):
-        """Take an instance's counts, this one's too; ``near`` tells to store them."""
-        heard = self._near if near else self._far
-        heard.hear(name_process(word.name, word.incarnation), word.usage)
+    def add_report(self, report, same_group):
+        """Add the counts of a report; ``same_group`` if this instance stores them."""
+        target = self._group_counts if same_group else self._other_counts
+        target.add(name_process(report.name, report.incarnation), report.usage)
 
-    def list_stored(self, word):
-        """Return the windows of which these very counts are stored."""
-        process = name_process(word.name, word.incarnation)
+    def list_stored(self, report):
+        """Return the windows for which exactly the reported counts are stored."""
+        process = name_process(report.name, report.incarnation)
         return [
             window
-            for window, counts in word.usage.items()
+            for window, counts in report.usage.items()
             if self._stored.get(window, {}).get(process) == counts
         ]
 
-    def note_stored(self, word, windows):
-        """Take note that what was told in a word is stored, for these windows."""
+    def mark_stored(self, report, windows):
+        """Record that a sent report's counts are stored for these windows."""
         for window in windows:
-            self.counter.note_stored(window, word.usage[window])
+            self.counter.mark_stored(window, report.usage[window])
 
     def find(self, window):
-        """Return all counts of a window that were heard, by process."""
-        return merge((self._near.find(window), self._far.find(window)))
+        """Return all known counts of a window, by process."""
+        return merge_counts(
+            (self._group_counts.find(window), self._other_counts.find(window))
+        )
 
     def count_heard(self):
-        """Return how many requests were counted here or told of."""
-        return self._near.count()
+        """Return the number of requests counted here or reported to this instance."""
+        return self._group_counts.count()
 
     def is_idle(self):
-        """Tell whether no count is being stored."""
-        return not self._writing
+        """Return whether no write of counts is pending."""
+        return not self._pending_writes
 
     def write_open_windows(self):
-        """Write all that isn't stored, the open window too, before the process ends."""
-        windows = self.list_open()
-        self._near.hear(self._name, windows)
+        """Write all unstored counts, the present window's too, before exit."""
+        windows = self.list_unstored()
+        self._group_counts.add(self._process, windows)
         for window in windows:
             self._write(window)
 
     @handler("tick", channel="*")
     def _on_tick(self):
         now = read_boottime()
-        if self._writing or now < self._due or not self.stores():
+        if self._pending_writes or now < self._retry_at or not self.stores():
             return
         window = self._find_due(self.read_time())
         if window is not None:
             self._write(window)
 
     def _find_due(self, now):
-        for window in self._near.list_windows():
+        for window in self._group_counts.list_windows():
             ended = (window + 1) * self.counter.length
-            if not WRITE_LAG <= now - ended < REWRITE_FOR:
+            if not WRITE_DELAY <= now - ended < REWRITE_WINDOW:
                 continue
-            if self._near.find(window) != self._stored.get(window):
+            if self._group_counts.find(window) != self._stored.get(window):
                 return window
         return None
 
     def _write(self, window):
-        self._writing += 1
-        counts = dict(self._near.find(window))
-        put = (f"{PARTS}{window}/{self._name}", encode_counts(counts), 0)
+        self._pending_writes += 1
+        counts = dict(self._group_counts.find(window))
+        put = (f"{PARTS}{window}/{self._process}", encode_counts(counts), 0)
         self._store.submit(
-            Commit(puts=(put,)), lambda reply: self._written(window, counts, reply)
+            Commit(puts=(put,)),
+            lambda reply: self._receive_write_reply(window, counts, reply),
         )
 
-    def _written(self, window, counts, reply):
-        self._writing -= 1
+    def _receive_write_reply(self, window, counts, reply):
+        self._pending_writes -= 1
         if not isinstance(reply, Committed):
-            self._due = read_boottime() + RETRY_WAIT
+            self._retry_at = read_boottime() + RETRY_INTERVAL
             return
         self._stored[window] = counts
-        for old in sorted(self._stored)[:-WINDOWS_KEPT]:
+        for old in sorted(self._stored)[:-MAX_WINDOWS]:
             del self._stored[old]
-        self.counter.note_stored(window, counts.get(self._name, {}))
+        self.counter.mark_stored(window, counts.get(self._process, {}))
 
 
 class UsageReporter(BaseComponent):
-    """Report each window once, with the same counts whoever reports it.
+    """Report each window once, with the same counts whichever instance reports it.
 
-    The counts are decided by a conditional write before they are sent: a holder that
-    dies in between leaves them for the next, who sends the very same.
+    The counts are fixed by a conditional write before they are sent. If a holder dies
+    in between, the next one finds and sends the same counts.
     """
 
     channel = "usage-reports"
@@ -175,133 +182,147 @@
         self._coordinator = coordinator
         self._parts = parts
         self._fence = None
-        self._known = False
+        self._report_read = False
         self._revision = 0
         self._report = None
-        self._sent = False
-        self._busy = False
-        self._due = 0.0
-        self._litter = []
+        self._report_sent = False
+        self._call_pending = False
+        self._retry_at = 0.0
+        self._obsolete_keys = []
 
     @handler("tick", channel="*")
     def _on_tick(self):
         now = read_boottime()
         fence = self._coordinator.tenure.fence(now)
         if fence != self._fence:
-            self._fence, self._known = fence, False
-        if fence is None or self._busy or now < self._due:
+            self._fence, self._report_read = fence, False
+        if fence is None or self._call_pending or now < self._retry_at:
             return
         self._advance(now)
 
     def _advance(self, now):
-        if not self._known:
-            self._submit(ListItems(REPORT), self._hear_report)
-        elif self._report is not None and not self._sent:
+        if not self._report_read:
+            self._submit(ListItems(REPORT), self._receive_report)
+        elif self._report is not None and not self._report_sent:
             self._send(now)
-        elif self._litter:
-            keys, self._litter = self._litter[:DELETES], self._litter[DELETES:]
+        elif self._obsolete_keys:
+            keys, self._obsolete_keys = (
+                self._obsolete_keys[:MAX_DELETES],
+                self._obsolete_keys[MAX_DELETES:],
+            )
             self._submit(Commit(deletes=tuple(keys)), lambda reply: None)
         else:
             self._collect()
 
-    def _submit(self, req, hear):
-        self._busy = True
+    def _submit(self, req, receive):
+        self._call_pending = True
         fence = self._fence
 
-        def heard(reply):
-            self._busy = False
-            # What was asked under another tenure may be old.
+        def receive_reply(reply):
+            self._call_pending = False
+            # A reply to a call under an earlier fencing number may be outdated.
             if fence == self._fence:
-                hear(reply)
+                receive(reply)
 
-        self._store.submit(req, heard)
+        self._store.submit(req, receive_reply)
 
-    def _wait(self):
-        self._due = read_boottime() + RETRY_WAIT
+    def _retry_later(self):
+        self._retry_at = read_boottime() + RETRY_INTERVAL
 
-    def _hear_report(self, reply):
+    def _receive_report(self, reply):
         if not isinstance(reply, Page):
-            self._wait()
+            self._retry_later()
             return
         found = [item for item in reply.items if item.key == REPORT]
         self._revision = found[0].revision if found else 0
         self._report = decode_report(found[0].value) if found else None
-        self._sent = False
-        self._known = True
-        self._submit(ListItems(PARTS), self._hear_litter)
+        self._report_sent = False
+        self._report_read = True
+        self._submit(ListItems(PARTS), self._receive_obsolete_keys)
 
-    def _hear_litter(self, reply):
-        """Take note of counts that came too late for their window."""
+    def _receive_obsolete_keys(self, reply):
+        """Collect the keys of counts that were stored too late for their window."""
         if not isinstance(reply, Page) or self._report is None:
             return
         for item in reply.items:
             window = item.key.removeprefix(PARTS).partition("/")[0]
             if int(window) <= self._report.window:
-                self._litter.append(item.key)
+                self._obsolete_keys.append(item.key)
 
     def _next_window(self):
         length = self._parts.counter.length
-        newest = int((self._parts.read_time() - COLLECT_LAG) // length) - 1
+        newest = int((self._parts.read_time() - COLLECT_DELAY) // length) - 1
         if self._report is None:
             return newest
-        return max(self._report.window + 1, newest - LATE_WINDOWS)
+        return max(self._report.window + 1, newest - MAX_LATE_WINDOWS)
 
     def _collect(self):
         window = self._next_window()
         ended = (window + 1) * self._parts.counter.length
         waited = self._parts.read_time() - ended
-        if waited < COLLECT_LAG:
+        if waited < COLLECT_DELAY:
             return
         self._submit(
             ListItems(f"{PARTS}{window}/"),
-            lambda reply: self._hear_parts(window, waited, reply),
+            lambda reply: self._receive_parts(window, waited, reply),
         )
 
-    def _hear_parts(self, window, waited, reply):
+    def _receive_parts(self, window, waited, reply):
         if not isinstance(reply, Page):
-            self._wait()
+            self._retry_later()
             return
-        stored = merge(decode_counts(item.value) for item in reply.items)
-        told = self._parts.find(window)
-        heard = {name: told[name] for name in told if name not in stored}
-        missing = self._coordinator.list_recent() - read_names(stored)
-        # Who is heard of lives and may store its last counts yet; who isn't may return.
-        patience = PATIENCE if missing - read_names(heard) else HEARD_PATIENCE
-        if missing and waited < patience:
-            self._wait()
+        stored = merge_counts(decode_counts(item.value) for item in reply.items)
+        reported = self._parts.find(window)
+        unstored = {name: reported[name] for name in reported if name not in stored}
+        missing = self._coordinator.list_recent_instances() - list_instance_names(
+            stored
+        )
+        # An instance that reported may still store its last counts; one that didn't may
+        # return.
+        timeout = (
+            MISSING_TIMEOUT
+            if missing - list_instance_names(unstored)
+            else REPORTED_TIMEOUT
+        )
+        if missing and waited < timeout:
+            self._retry_later()
             return
-        counts = add_up(merge((stored, told)).values())
+        counts = sum_counts(merge_counts((stored, reported)).values())
         keys = [item.key for item in reply.items]
         report = Report(window, counts)
         commit = Commit(
             expect=((REPORT, self._revision),),
             puts=((REPORT, encode_report(report), 0),),
-            deletes=tuple(keys[:DELETES]),
+            deletes=tuple(keys[:MAX_DELETES]),
         )
         log_event(
             "usage decided",
             window=window,
             parts=len(stored),
-            heard=len(heard),
+            heard=len(unstored),
             missing=len(missing),
         )
         self._submit(
-            commit, lambda answer: self._decided(report, keys[DELETES:], answer)
+            commit,
+            lambda answer: self._receive_commit_reply(
+                report, keys[MAX_DELETES:], answer
+            ),
         )
 
-    def _decided(self, report, litter, reply):
+    def _receive_commit_reply(self, report, obsolete_keys, reply):
         if isinstance(reply, Committed):
             self._revision, self._report = reply.revision, report
-            self._sent = False
-            self._litter += litter
+            self._report_sent = False
+            self._obsolete_keys += obsolete_keys
             return
-        # A lost answer may hide a write that took effect: read before going on.
-        self._known = False
+        # A write whose reply was lost may have taken effect: read the report again
+        # first.
+        self._report_read = False
         if not isinstance(reply, Conflict):
-            self._wait()
+            self._retry_later()
 
     def _send(self, now):
-        self._busy = True
+        self._call_pending = True
         self._coordinator.tenure.note_act(now)
         call = ReportUsage(
             self._report.window,
@@ -310,15 +331,17 @@
             self._fence,
             time.monotonic() + self._cfg.lease,
         )
-        self._cloud.submit(call, self._answered)
+        self._cloud.submit(call, self._receive_platform_reply)
 
-    def _answered(self, reply):
-        self._busy = False
+    def _receive_platform_reply(self, reply):
+        self._call_pending = False
         if isinstance(reply, Accepted):
-            self._sent = True
+            self._report_sent = True
         elif isinstance(reply, Outdated):
-            log_event("duty outdated", fence=self._fence or 0, detail=reply.text)
+            log_event(
+                "fencing number outdated", fence=self._fence or 0, detail=reply.text
+            )
             self._coordinator.tenure.drop()
         else:
             log_event("usage not reported", reply=type(reply).__name__)
-            self._wait()
+            self._retry_later()
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,52 +1,52 @@
-"""The stored number of instances: starts, growth, power cuts, foreign values."""
+"""The stored number of instances: starts, growth, power loss, foreign values."""
 
 import unittest
 
 from chervilwing.items import Item
-from chervilwing.roster import COUNT, SHRINK_AFTER, WRITE_EVERY, Roster
+from chervilwing.roster import COUNT, SHRINK_AFTER, WRITE_INTERVAL, InstanceCount
 
 
-def make_roster(count):
-    """Return a roster that has seen this count in the store."""
-    roster = Roster()
-    roster.observe(Item(COUNT, str(count).encode(), 9))
-    return roster
+def make_stored_count(count):
+    """Return an InstanceCount that has observed this count in the store."""
+    stored = InstanceCount()
+    stored.observe(Item(COUNT, str(count).encode(), 9))
+    return stored
 
 
-class TestRoster(unittest.TestCase):
-    def test_more_are_stored_at_once(self):
-        call = make_roster(7).next_call(8, 10.0)
+class TestInstanceCount(unittest.TestCase):
+    def test_higher_count_is_stored_at_once(self):
+        call = make_stored_count(7).next_call(8, 10.0)
         self.assertEqual(call.puts, ((COUNT, b"8", 0),))
         self.assertEqual(call.expect, ((COUNT, 9),))
 
-    def test_dozens_that_join_are_a_few_writes(self):
-        roster, calls = Roster(), 0
+    def test_dozens_of_joins_cause_few_writes(self):
+        stored, calls = InstanceCount(), 0
         for seen in range(1, 61):
-            calls += roster.next_call(seen, 100.0 + seen / 60) is not None
+            calls += stored.next_call(seen, 100.0 + seen / 60) is not None
         self.assertEqual(calls, 1)
-        self.assertIsNotNone(roster.next_call(60, 101.0 + WRITE_EVERY))
+        self.assertIsNotNone(stored.next_call(60, 101.0 + WRITE_INTERVAL))
 
-    def test_a_power_cut_makes_nobody_the_only_one(self):
-        # All sixty lose power, and their registrations lapse. The first that is back
-        # takes the duties and sees itself alone; written down, each of those that
-        # follow would take a large part of every allowance.
-        roster = make_roster(60)
+    def test_power_loss_does_not_lower_the_count(self):
+        # All sixty instances lose power, and their registrations lapse. The first one
+        # that is back takes the duties and sees only itself. If it stored that count,
+        # each instance that follows would take a large share of every allowance.
+        stored = make_stored_count(60)
         for at in range(int(SHRINK_AFTER)):
-            self.assertIsNone(roster.next_call(1, float(at)))
-        self.assertIsNone(roster.next_call(60, SHRINK_AFTER))
-        self.assertIsNone(roster.next_call(1, SHRINK_AFTER + 1.0))
+            self.assertIsNone(stored.next_call(1, float(at)))
+        self.assertIsNone(stored.next_call(60, SHRINK_AFTER))
+        self.assertIsNone(stored.next_call(1, SHRINK_AFTER + 1.0))
 
-    def test_those_that_are_gone_for_good_are_taken_off(self):
-        roster = make_roster(60)
-        roster.next_call(40, 0.0)
-        self.assertEqual(roster.next_call(40, SHRINK_AFTER).puts, ((COUNT, b"40", 0),))
+    def test_count_falls_after_instances_left_for_good(self):
+        stored = make_stored_count(60)
+        stored.next_call(40, 0.0)
+        self.assertEqual(stored.next_call(40, SHRINK_AFTER).puts, ((COUNT, b"40", 0),))
 
-    def test_what_somebody_else_wrote_is_no_count(self):
+    def test_unreadable_values_count_as_zero(self):
         for value in (b"", b"many", b"-3", b"\xff", None):
             with self.subTest(value=value):
-                roster = Roster()
-                roster.observe(Item(COUNT, value, 4))
-                self.assertEqual(roster.count, 0)
+                stored = InstanceCount()
+                stored.observe(Item(COUNT, value, 4))
+                self.assertEqual(stored.count, 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_store_watchers.py
+++ b/tests/test_store_watchers.py
@@ -1,4 +1,4 @@
-"""Who of many instances watches the store, by their own questions and answers."""
+"""Choice of the instances that watch the store, over simulated queries and replies."""
 
 import unittest
 from types import SimpleNamespace
@@ -6,7 +6,7 @@
 
 from chervilwing.coordination import Peer
 from chervilwing.crashes import CrashRecords
-from chervilwing.fanout import GROUP_SIZE, OLDEST, WATCHERS, rank
+from chervilwing.fanout import MAX_FRESH_AGE, MAX_GROUP_SIZE, MAX_WATCHERS, rank
 from chervilwing.mirrors import News
 from chervilwing.models import Address
 from chervilwing.neighbours import Neighbours
@@ -16,8 +16,8 @@
 SETTLE = 3.0
 
 
-class Coordination:
-    """What one instance knows of the store: all, or nothing since it lost it."""
+class StoreKnowledge:
+    """Simulated knowledge of the store at one instance, which may lose the store."""
 
     def __init__(self, name, names, clock):
         self.name = name
@@ -27,10 +27,10 @@
             if other != name
         }
         self.peers_version = 1
-        self.tenure = SimpleNamespace(patience=0.0)
-        self.resting = False
-        self.loses = False
-        # When it listed the store: it doesn't know what changed before.
+        self.tenure = SimpleNamespace(claim_delay=0.0)
+        self.passive = False
+        self.store_lost = False
+        # When it listed the store: it doesn't know earlier changes.
         self.listed_at = 0.0
         self.calls = 0
         self._clock = clock
@@ -38,42 +38,42 @@
 
     @property
     def unreachable(self):
-        """Tell whether the last own call had no answer."""
-        return self.loses and not self.resting
+        """Return whether the last own call had no answer."""
+        return self.store_lost and not self.passive
 
     def tick(self):
-        """Watch the store, unless somebody else does."""
-        if not self.resting:
+        """Watch the store, unless another instance does."""
+        if not self.passive:
             self.calls += 1
-            if not self.loses:
+            if not self.store_lost:
                 self._as_of = self._clock.now
 
     def list_links(self):
-        """Return no links, as all are alike."""
+        """Return no links, as all are equal."""
         return {}
 
     def list_revisions(self):
-        """Return what is known of the store."""
+        """Return the time up to which the store is known."""
         return [self._as_of]
 
-    def tell(self, revisions, now):
-        """Return how old this is."""
+    def list_news(self, revisions, now):
+        """Return News that hold the age of this knowledge."""
         items = None if revisions[0] < self.listed_at else ()
         return [News(now - self._as_of, None, 1, items, False)]
 
-    def find_age(self, news):
-        """Return the age of what was told."""
+    def compute_age(self, news):
+        """Return the age of the news in seconds."""
         return news[0].age
 
-    def learn(self, news, asked_at, now):
-        """Take what somebody told."""
+    def apply_news(self, news, queried_at, now):
+        """Apply another instance's news."""
         if news[0].items is not None:
-            self._as_of = max(self._as_of, asked_at - news[0].age)
-        elif not self.loses:
+            self._as_of = max(self._as_of, queried_at - news[0].age)
+        elif not self.store_lost:
             self._as_of = self._clock.now
 
     def measure_age(self):
-        """Return how old what is known is."""
+        """Return the age of this knowledge in seconds."""
         return self._clock.now - self._as_of
 
 
@@ -81,29 +81,29 @@
     """One instance's datagrams, delivered at once."""
 
     def __init__(self, name, sockets):
-        self.takers = {}
+        self.receivers = {}
         self._name = name
         self._sockets = sockets
         sockets[name] = self
 
-    def subscribe(self, kind, take):
-        """Hand a kind to a function."""
-        self.takers[kind] = take
+    def subscribe(self, kind, receive):
+        """Register the receiver of a kind."""
+        self.receivers[kind] = receive
 
     def send(self, kind, fields, address):
         """Deliver a datagram."""
-        take = self._sockets[address.host].takers[kind]
-        take(Address(self._name, 1), *fields)
+        receive = self._sockets[address.host].receivers[kind]
+        receive(Address(self._name, 1), *fields)
 
 
 class World:
-    """Instances of some data centres that ask each other; ``bound`` in seconds."""
+    """Instances of several data centres that query each other; ``bound`` in seconds."""
 
     def __init__(self, count, centres, bound):
         self.now = 100.0
         self.names = {f"i{n}": centres[n % len(centres)] for n in range(count)}
         sockets = {}
-        self.coordinations, self.neighbours = {}, {}
+        self.knowledge_by_name, self.neighbours = {}, {}
         for name, centre in self.names.items():
             cfg = SimpleNamespace(
                 name=name,
@@ -112,13 +112,17 @@
                 apply_bound=bound,
                 leave_bound=bound,
             )
-            known = self.coordinations[name] = Coordination(name, self.names, self)
-            parts = mock.Mock(**{"list_open.return_value": {}, "read_time": lambda: 0})
+            knowledge = self.knowledge_by_name[name] = StoreKnowledge(
+                name, self.names, self
+            )
+            parts = mock.Mock(
+                **{"list_unstored.return_value": {}, "read_time": lambda: 0}
+            )
             parts.list_stored.return_value = []
             self.neighbours[name] = Neighbours(
                 cfg,
                 Datagrams(name, sockets),
-                known,
+                knowledge,
                 SimpleNamespace(
                     pools={}, rollouts=Rollouts(), crashes=CrashRecords(name)
                 ),
@@ -127,104 +131,107 @@
             )
 
     def run(self, seconds, watched=()):
-        """Let time pass; return the greatest age at any time of what some know."""
+        """Advance the clock; return the greatest age of the ``watched`` ones' state."""
         end, oldest = self.now + seconds, 0.0
         with mock.patch("chervilwing.neighbours.read_boottime", lambda: self.now):
             while self.now < end:
                 self.now += TICK
                 for name in self.names:
-                    self.coordinations[name].tick()
+                    self.knowledge_by_name[name].tick()
                     self.neighbours[name]._on_tick()
-                ages = (self.coordinations[name].measure_age() for name in watched)
+                ages = (self.knowledge_by_name[name].measure_age() for name in watched)
                 oldest = max(oldest, *ages, 0.0)
         return oldest
 
     def list_watching(self):
-        """Return who watches the store."""
-        return [name for name, item in self.coordinations.items() if not item.resting]
+        """Return the names of the instances that watch the store."""
+        return [
+            name for name, item in self.knowledge_by_name.items() if not item.passive
+        ]
 
     def measure_oldest(self):
-        """Return the age of the oldest knowledge that anybody has."""
-        return max(item.measure_age() for item in self.coordinations.values())
+        """Return the greatest age of any instance's knowledge in seconds."""
+        return max(item.measure_age() for item in self.knowledge_by_name.values())
 
 
 class TestWatchers(unittest.TestCase):
-    def test_two_watch_for_all_where_there_is_time_to_ask(self):
-        # Two hundred instances in ten groups: ten that watch are 65 calls a second, and
-        # at 320 there would be sixteen.
+    def test_two_instances_watch_for_a_large_fleet(self):
+        # With two hundred instances in ten groups, ten watching leaders would make 65
+        # calls a second; with 320 instances there would be sixteen watching.
         for count in (67, 195, 320):
             with self.subTest(count=count):
                 world = World(count, "abcde", bound=4.0)
                 world.run(SETTLE)
-                self.assertEqual(len(world.list_watching()), WATCHERS)
+                self.assertEqual(len(world.list_watching()), MAX_WATCHERS)
                 self.assertLess(world.measure_oldest(), 4.0)
 
-    def test_every_leader_watches_where_changes_must_be_heeded_at_once(self):
+    def test_every_leader_watches_under_a_short_bound(self):
         world = World(60, "abc", bound=2.0)
         world.run(SETTLE)
         self.assertEqual(len(world.list_watching()), 3)
 
-    def test_a_leader_that_lost_the_store_sends_nobody_to_it_but_the_next(self):
-        # The store turns one of three leaders away for nine seconds. Its followers are
-        # told nothing that is of late, and all of them would watch: 150 calls a second.
+    def test_few_followers_watch_after_their_leader_lost_the_store(self):
+        # The store turns one of three leaders away for nine seconds. Its followers get
+        # no fresh knowledge, and if all of them watched the store, they would make 150
+        # calls a second.
         world = World(60, "abc", bound=2.0)
         world.run(SETTLE)
         leader = world.list_watching()[0]
-        world.coordinations[leader].loses = True
+        world.knowledge_by_name[leader].store_lost = True
         world.run(SETTLE)
         others = [name for name in world.list_watching() if name != leader]
         self.assertLessEqual(len(others), 3)
         followers = [n for n in world.names if n != leader]
-        oldest = max(world.coordinations[n].measure_age() for n in followers)
+        oldest = max(world.knowledge_by_name[n].measure_age() for n in followers)
         self.assertLess(oldest, 2.0)
-        # And it hears of them what it can't ask itself.
-        self.assertLess(world.coordinations[leader].measure_age(), 4.0)
+        # The leader learns from its followers what it can't query itself.
+        self.assertLess(world.knowledge_by_name[leader].measure_age(), 4.0)
 
-    def test_one_without_the_store_leaves_a_helper_that_cannot_tell_it_all(self):
-        # The first of its followers started after the last change that the leader
-        # knows, and can't tell it what came between; the others can. Asked again and
-        # again, it would let the leader refuse all callers.
+    def test_fallback_with_incomplete_news_is_left(self):
+        # The first of the followers started after the last change that the leader
+        # knows, and can't supply what came in between; the others can. If the leader
+        # queried only that one, it would refuse all callers.
         world = World(8, "a", bound=2.0)
         world.run(SETTLE)
         leader = world.list_watching()[0]
         first = next(name for name in rank(list(world.names)) if name != leader)
-        world.coordinations[leader].loses = True
-        world.coordinations[first].listed_at = world.now + 10 * TICK
+        world.knowledge_by_name[leader].store_lost = True
+        world.knowledge_by_name[first].listed_at = world.now + 10 * TICK
         world.run(SETTLE)
         self.assertLess(world.run(2 * SETTLE, [leader]), 4.0)
 
-    def test_nobody_proves_to_another_what_it_has_from_it(self):
-        # The leader loses the store and hears of the next in rank what that one knows.
-        # Told by the leader how fresh this is, the next one rests, and both grow old on
-        # each other's word; a caller's request went to an upstream that had said 2.3 s
-        # before that it leaves.
+    def test_borrowed_store_state_is_not_returned_as_fresh(self):
+        # The leader loses the store and learns its state from the next instance in
+        # rank. If the leader returned that state to it as fresh, the next one would
+        # stop watching, and both would rely on each other's ageing knowledge: a request
+        # went to an upstream that had announced 2.3 s before that it leaves.
         for count in (8, 60):
             with self.subTest(count=count):
                 world = World(count, "abc", bound=2.0)
                 world.run(SETTLE)
                 leader = world.list_watching()[0]
-                world.coordinations[leader].loses = True
+                world.knowledge_by_name[leader].store_lost = True
                 world.run(SETTLE)
-                self.assertLess(world.run(2 * SETTLE, world.names), OLDEST)
+                self.assertLess(world.run(2 * SETTLE, world.names), MAX_FRESH_AGE)
 
-    def test_watchers_that_lost_the_store_are_stood_in_for(self):
-        # Both that watch for two hundred are turned away.
+    def test_watchers_that_lost_the_store_are_replaced(self):
+        # Both instances that watch for two hundred are turned away by the store.
         world = World(195, "abcde", bound=4.0)
         world.run(SETTLE)
         lost = world.list_watching()
         for name in lost:
-            world.coordinations[name].loses = True
+            world.knowledge_by_name[name].store_lost = True
         world.run(SETTLE)
         watching = [name for name in world.list_watching() if name not in lost]
-        self.assertLessEqual(len(watching), 195 // GROUP_SIZE + 5)
+        self.assertLessEqual(len(watching), 195 // MAX_GROUP_SIZE + 5)
         oldest = max(
             item.measure_age()
-            for name, item in world.coordinations.items()
+            for name, item in world.knowledge_by_name.items()
             if name not in lost
         )
         self.assertLess(oldest, 4.0)
 
-    def test_the_ranked_are_the_same_everywhere(self):
+    def test_rank_does_not_depend_on_input_order(self):
         self.assertEqual(rank(["b", "a", "c"]), rank(["c", "b", "a"]))
 
 
--- a/tests/test_tenures_explored.py
+++ b/tests/test_tenures_explored.py
@@ -1,8 +1,8 @@
-"""Random lives of five instances that want one duty, on a store that fails.
+"""Randomised runs of five instances that claim one duty, on a store that fails.
 
 Calls are delayed, lost before or after they took effect, or carried out seconds later;
-leases lapse; instances freeze for seconds and wake unaware. Seeds are fixed: each run
-shows the same.
+leases lapse; instances freeze for seconds without noticing. The seeds are fixed, so
+that each run is the same.
 """
 
 import heapq
@@ -21,31 +21,32 @@
     TakeLease,
     Unavailable,
 )
-from chervilwing.tenures import Record, Tenure
+from chervilwing.tenures import DutyLease, Record
 
 TTL = 3.0
 KEY = "duty"
 STEP = 0.05
 LENGTH = 120.0
 SEEDS = range(40)
-# Chances of each call: lost before it arrives, answer lost, carried out seconds later.
+# Probabilities for each call: lost in transit, its reply lost, carried out seconds
+# later.
 LOST, UNANSWERED, LATE = 0.05, 0.05, 0.05
 FREEZE = 0.002
 TIMEOUT = 1.0
 
 
 class Store:
-    """The store's side: leases that run out, and a key that stands under one."""
+    """A simulated store: leases that lapse, and one key stored under a lease."""
 
     def __init__(self):
         self.revision = 1
         self.item = None
         self.lease_of_item = None
         self.leases = {}
-        self.numbers = itertools.count(1)
+        self.lease_ids = itertools.count(1)
 
     def expire(self, now):
-        """End leases, and the key that stands under one."""
+        """End lapsed leases, and delete a key under one of them."""
         for lease in [name for name, until in self.leases.items() if until <= now]:
             del self.leases[lease]
             if self.lease_of_item == lease:
@@ -53,10 +54,10 @@
                 self.item = self.lease_of_item = None
 
     def carry_out(self, call, now):
-        """Carry a call out and return its reply."""
+        """Carry out a call and return its reply."""
         self.expire(now)
         if isinstance(call, TakeLease):
-            lease = next(self.numbers)
+            lease = next(self.lease_ids)
             self.leases[lease] = now + call.ttl
             return Leased(lease, call.ttl)
         if isinstance(call, KeepLease):
@@ -67,7 +68,7 @@
         return self.commit(call)
 
     def commit(self, call):
-        """Carry a conditional write out."""
+        """Carry out a conditional write."""
         ((key, value, lease),) = call.puts
         if call.expect and self.item is not None:
             return Conflict()
@@ -81,94 +82,94 @@
 
 
 class World:
-    """Instances, the store, and everything that is on its way."""
+    """Instances, the store, and all calls and replies in transit."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
         self.store = Store()
         self.queue = []
-        self.order = itertools.count()
-        self.tenures = [
-            Tenure(KEY, Record(f"i/{n}", b"x"), f"n{n}", TTL, self.rng)
+        self.sequence = itertools.count()
+        self.duties = [
+            DutyLease(KEY, Record(f"i/{n}", b"x"), f"n{n}", TTL, self.rng)
             for n in range(5)
         ]
         self.frozen = [0.0] * 5
         self.calls = [0] * 5
-        # The call of each instance that isn't answered yet.
+        # Number of each instance's call that has no reply yet.
         self.waiting = [None] * 5
         self.acts = []
-        self.calm = False
+        self.fault_free = False
 
-    def later(self, at, do):
-        """Do something at a time."""
-        heapq.heappush(self.queue, (at, next(self.order), do))
+    def schedule(self, at, function):
+        """Schedule a function at a time."""
+        heapq.heappush(self.queue, (at, next(self.sequence), function))
 
     def send(self, number, call, now):
-        """Put a call on its way, with whatever befalls it."""
+        """Send a call, which may be delayed or lost."""
         self.calls[number] += 1
         self.waiting[number] = self.calls[number]
-        tag, draw = self.calls[number], 1.0 if self.calm else self.rng.random()
+        tag, fault = self.calls[number], 1.0 if self.fault_free else self.rng.random()
         arrival = now + self.rng.uniform(0.001, 0.3)
-        if draw < LATE:
+        if fault < LATE:
             arrival = now + self.rng.uniform(1.0, 6.0)
-        self.later(now + TIMEOUT, lambda at: self.answer(number, tag, None, at))
-        if LATE <= draw < LATE + LOST:
+        self.schedule(now + TIMEOUT, lambda at: self.answer(number, tag, None, at))
+        if LATE <= fault < LATE + LOST:
             return
-        self.later(arrival, lambda at: self.arrive(number, tag, call, at, draw))
+        self.schedule(arrival, lambda at: self.arrive(number, tag, call, at, fault))
 
-    def arrive(self, number, tag, call, now, draw):
-        """Let the store carry a call out, and send its answer back, or lose it."""
+    def arrive(self, number, tag, call, now, fault):
+        """Let the store carry out a call, and send or lose the reply."""
         reply = self.store.carry_out(call, now)
-        if LATE + LOST <= draw < LATE + LOST + UNANSWERED:
+        if LATE + LOST <= fault < LATE + LOST + UNANSWERED:
             return
-        back = now + self.rng.uniform(0.001, 0.3)
-        self.later(back, lambda at: self.answer(number, tag, reply, at))
+        reply_at = now + self.rng.uniform(0.001, 0.3)
+        self.schedule(reply_at, lambda at: self.answer(number, tag, reply, at))
 
     def answer(self, number, tag, reply, now):
-        """Hand an answer over, or the end of its wait; later to a frozen instance."""
+        """Deliver a reply or a timeout; a frozen instance gets it when it resumes."""
         if now < self.frozen[number]:
-            self.later(
+            self.schedule(
                 self.frozen[number], lambda at: self.answer(number, tag, reply, at)
             )
         elif self.waiting[number] == tag:
             self.waiting[number] = None
             reply = Unavailable() if reply is None else reply
-            self.tenures[number].receive(reply, now)
+            self.duties[number].receive(reply, now)
 
     def step(self, now):
-        """Let every instance that isn't frozen look, call and act."""
+        """Let every instance that isn't frozen observe, call and act."""
         self.store.expire(now)
-        for number, tenure in enumerate(self.tenures):
+        for number, duty in enumerate(self.duties):
             if now < self.frozen[number]:
                 continue
-            if not self.calm and self.rng.random() < FREEZE:
+            if not self.fault_free and self.rng.random() < FREEZE:
                 self.frozen[number] = now + self.rng.uniform(0.5, 8.0)
                 continue
             if self.rng.random() < 0.3:
-                tenure.observe(self.store.item, self.store.revision)
-            call = tenure.next_call(now)
+                duty.observe(self.store.item, self.store.revision)
+            call = duty.next_call(now)
             if call is not None:
                 self.send(number, call, now)
-            fence = tenure.fence(now)
+            fence = duty.fence(now)
             if fence is not None:
                 self.acts.append((now, number, fence))
-                tenure.note_act(now)
+                duty.note_act(now)
 
-    def run(self, calm_from=LENGTH):
-        """Run to the end and return all acts; faults end at a time."""
+    def run(self, faults_end=LENGTH):
+        """Run to the end and return all acts; faults occur until ``faults_end``."""
         now = 0.0
         while now < LENGTH:
-            self.calm = now >= calm_from
+            self.fault_free = now >= faults_end
             while self.queue and self.queue[0][0] <= now:
-                at, _, do = heapq.heappop(self.queue)
-                do(at)
+                at, _, function = heapq.heappop(self.queue)
+                function(at)
             self.step(now)
             now += STEP
         return self.acts
 
 
-class TestExplored(unittest.TestCase):
-    def test_fences_never_fall_and_no_two_act_at_once(self):
+class TestRandomisedRuns(unittest.TestCase):
+    def test_fencing_numbers_never_fall_and_have_one_owner(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 acts = World(seed).run()
@@ -178,8 +179,8 @@
                 for _, number, fence in acts:
                     self.assertEqual(owners.setdefault(fence, number), number)
 
-    def test_no_holder_comes_back_within_a_lease(self):
-        # The platform sees A, B and A again while older acts of A are on their way.
+    def test_holder_returns_no_sooner_than_after_a_lease(self):
+        # The platform would see A, B and A again while older acts of A are in transit.
         for seed in SEEDS:
             last = {}
             with self.subTest(seed=seed):
@@ -188,12 +189,12 @@
                     self.assertTrue(before == fence or now - at >= TTL - STEP)
                     last[number] = (now, fence)
 
-    def test_the_duty_is_held_again_soon_after_the_faults_end(self):
-        # A world of faults may leave the duty with nobody; a calm one must not, or no
-        # usage is reported and nothing is ordered.
+    def test_duty_is_held_soon_after_the_faults_end(self):
+        # During faults the duty may have no holder. Afterwards it must have one soon,
+        # or no usage is reported and no instances are ordered.
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                acts = World(seed).run(calm_from=60.0)
+                acts = World(seed).run(faults_end=60.0)
                 seconds = {int(now) for now, _, _ in acts}
                 missing = sorted(set(range(70, int(LENGTH))) - seconds)
                 self.assertEqual(missing[:1], [])
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -11,12 +11,12 @@
 MIRROR = "tests.test_mirrors.TestMirror.test_"
 NEWS = "tests.test_mirrors.TestNews.test_"
 FANOUT = "tests.test_fanout.TestFanout.test_"
-TENURE = "tests.test_tenures.TestTenure.test_"
+TENURE = "tests.test_tenures.TestDutyLease.test_"
 CREDIT = "tests.test_allowances.TestCredit.test_"
 PARTITIONS = "tests.test_allowances.TestPartitions.test_"
 MODEL = "tests.test_allowances_model.TestBound.test_"
 WATCHERS = "tests.test_store_watchers.TestWatchers.test_"
-TALLY = "tests.test_tallies.TestTally.test_"
+TALLY = "tests.test_tallies.TestReportSums.test_"
 SIZING = "tests.test_sizing.TestSizing.test_"
 PLACING = "tests.test_placing_model.TestPlacingModel.test_"
 LOADS = "tests.test_old_loads.TestOldLoads.test_"
@@ -25,9 +25,9 @@
 CRASHING = "tests.test_crashing_requests.TestOneInstance.test_a_crashing_"
 NO_CRASH = "tests.test_crashing_requests.TestNoCrash.test_"
 
-CHANGED = "self.as_of = max(self.as_of, sent)"
+CHANGED = "self.as_of = max(self.as_of, sent_at)"
 CROSSED = "[item for item in items if item.revision > self.revision]"
-BACK = "if self._acted_fence != self._fence and now < self._acted + self._ttl:"
+BACK = "if self._last_act_fence != self._fence and now < self._last_act_at + self._ttl:"
 STALE = "if not route.open and not self._knows_keys():"
 PROBE_ANSWERED = """            self._dismiss(suspicions)
         self._streams.drop(conn)"""
@@ -131,14 +131,14 @@
         ),
     ),
     Weakness(
-        "one without the store drops what it knows",
-        (Edit("mirrors", "self._lacking = True", "self._list_anew()"),),
-        (NEWS + "one_without_the_store_keeps_what_it_knows_for_those_who_know_more",),
+        "unusable news drop the items",
+        (Edit("mirrors", "self._must_list = True", "self._restart_listing()"),),
+        (NEWS + "unusable_news_leave_the_items_unchanged",),
     ),
     Weakness(
-        "a helper that can't tell it all is asked on and on",
-        (Edit("neighbours", " or not self._is_of_use(news)", ""),),
-        (WATCHERS + "one_without_the_store_leaves_a_helper_that_cannot_tell_it_all",),
+        "a fallback with incomplete news is queried on",
+        (Edit("neighbours", " or not self._is_sufficient(news)", ""),),
+        (WATCHERS + "fallback_with_incomplete_news_is_left",),
     ),
     Weakness(
         "a leaving upstream's end is a crash",
@@ -248,53 +248,59 @@
         (
             Edit(
                 "mirrors",
-                "if known is not None and known.revision >= item.revision:",
+                "if current is not None and current.revision >= item.revision:",
                 "if False:",
             ),
             Edit("mirrors", CROSSED, "list(items)"),
         ),
-        (MIRROR + "an_older_change_never_replaces_a_newer_one",),
+        (MIRROR + "older_change_never_replaces_a_newer_one",),
     ),
     Weakness(
-        "an answer that crosses newer news is applied",
+        "a reply older than applied news is applied",
         (Edit("mirrors", CROSSED, "list(items)"),),
-        (NEWS + "older_news_never_bring_back_what_was_deleted",),
+        (NEWS + "late_reply_restores_no_deleted_item",),
     ),
     Weakness(
-        "another instance's knowledge counts from its answer",
-        (Edit("mirrors", "asked_at - news.age", "now - news.age"),),
-        (NEWS + "knowledge_is_as_old_as_the_call_that_proved_it",),
+        "the age of news counts from the reply",
+        (Edit("mirrors", "queried_at - news.age", "now - news.age"),),
+        (NEWS + "age_counts_from_the_call_that_proved_it",),
     ),
     Weakness(
-        "an instance that is cut off from the store is proof enough",
-        (Edit("fanout", "self.fresh = age <= self._oldest", "self.fresh = True"),),
-        (FANOUT + "one_that_is_cut_off_from_the_store_is_no_proof",),
+        "every reply counts as fresh",
+        (Edit("fanout", "self.fresh = age <= self._max_age", "self.fresh = True"),),
+        (FANOUT + "reply_of_a_leader_without_the_store_is_not_fresh",),
     ),
     Weakness(
-        "all followers of a leader without the store watch it",
+        "all followers watch after their leader lost the store",
         (
             Edit(
                 "neighbours",
-                "= told or (helped and not away)",
-                "= told",
+                "= informed or (fallback_informed and not unreachable)",
+                "= informed",
             ),
         ),
-        (WATCHERS + "a_leader_that_lost_the_store_sends_nobody_to_it_but_the_next",),
+        (WATCHERS + "few_followers_watch_after_their_leader_lost_the_store",),
     ),
     Weakness(
-        "one that lost the store vouches for what it was told",
-        (Edit("neighbours", "self._vouches = told or not away", "pass"),),
-        (WATCHERS + "nobody_proves_to_another_what_it_has_from_it",),
+        "an instance without the store returns borrowed state as fresh",
+        (
+            Edit(
+                "neighbours",
+                "self._shares_store_state = informed or not unreachable",
+                "pass",
+            ),
+        ),
+        (WATCHERS + "borrowed_store_state_is_not_returned_as_fresh",),
     ),
     Weakness(
-        "every leader watches, however many there are",
-        (Edit("neighbours", "if self._oldest <= ALL_WATCH:", "if True:"),),
-        (WATCHERS + "two_watch_for_all_where_there_is_time_to_ask",),
+        "every leader watches the store whatever the bound",
+        (Edit("neighbours", "if self._max_age <= ALL_LEADERS_WATCH_AGE:", "if True:"),),
+        (WATCHERS + "two_instances_watch_for_a_large_fleet",),
     ),
     Weakness(
-        "an answer to any question is taken for the last one's",
-        (Edit("fanout", "or self._asked.number != number", ""),),
-        (FANOUT + "an_answer_to_an_older_question_proves_nothing",),
+        "a reply to any query is taken as the pending one's",
+        (Edit("fanout", "or self._pending.number != number", ""),),
+        (FANOUT + "reply_to_an_older_query_is_ignored",),
     ),
     Weakness(
         "returned totals count again with each claim",
@@ -431,17 +437,29 @@
         (ROLLOUTS + "TestDrawnRollouts.test_bad_versions_stay_within_what_is_borne",),
     ),
     Weakness(
-        "a leader that leads again tells of old work",
-        (Edit("tallies", "part = KEPT / max(KEPT, gap)", "part = 1.0"),),
-        (TALLY + "one_that_leads_again_brings_no_old_work",),
+        "a returning leader adds old work",
+        (
+            Edit(
+                "tallies",
+                "fraction = REPORT_TIMEOUT / max(REPORT_TIMEOUT, gap)",
+                "fraction = 1.0",
+            ),
+        ),
+        (TALLY + "returning_leader_adds_no_old_work",),
     ),
     Weakness(
-        "a word that comes late is passed over",
-        (Edit("tallies", "part = KEPT / max(KEPT, gap)", "part = float(gap <= KEPT)"),),
-        (TALLY + "what_one_worked_that_was_heard_late_counts",),
+        "a late report is ignored",
+        (
+            Edit(
+                "tallies",
+                "fraction = REPORT_TIMEOUT / max(REPORT_TIMEOUT, gap)",
+                "fraction = float(gap <= REPORT_TIMEOUT)",
+            ),
+        ),
+        (TALLY + "work_of_a_late_report_counts",),
     ),
     Weakness(
-        "one that started again is taken for the one before",
+        "a restarted upstream is taken as the previous process",
         (
             Edit(
                 "registrations",
@@ -455,7 +473,7 @@
         ),
     ),
     Weakness(
-        "a history is told of for ever",
+        "repeated placements never expire",
         (
             Edit(
                 "tallies",
@@ -498,22 +516,22 @@
         ),
     ),
     Weakness(
-        "knowledge counts from the answer",
-        (Edit("mirrors", CHANGED, CHANGED.replace("sent", "now")),),
-        (MIRROR + "knowledge_is_as_old_as_the_sending_of_its_call",),
+        "the age of knowledge counts from the reply",
+        (Edit("mirrors", CHANGED, CHANGED.replace("sent_at", "now")),),
+        (MIRROR + "age_counts_from_the_sending_of_the_call",),
     ),
     Weakness(
-        "a holder trusts its lease to the end and beyond",
-        (Edit("tenures", "now >= self._until:", "False:"),),
-        (TENURE + "nobody_acts_on_a_lease_that_may_have_lapsed",),
+        "a holder acts after its lease may have lapsed",
+        (Edit("tenures", "now >= self._trusted_until:", "False:"),),
+        (TENURE + "no_fencing_number_under_a_possibly_lapsed_lease",),
     ),
     Weakness(
         "a returning holder acts at once",
         (Edit("tenures", BACK, "if False:"),),
-        (TENURE + "a_returning_holder_waits_out_its_own_last_act",),
+        (TENURE + "returning_holder_waits_a_lease_after_its_last_act",),
     ),
     Weakness(
-        "vanished registrations are gone at once",
+        "lapsed registrations are dropped at once",
         (Edit("registrations", "if now < regained_at + LAPSE_GRACE:", "if False:"),),
         (
             "tests.test_registrations.TestRegistry"
