--- a/tests/test_allowances_model.py
+++ b/tests/test_allowances_model.py
@@ -57,7 +57,7 @@
     fleet.cut({name: 1 + place for place, name in enumerate(sorted(fleet.nodes))})
 
 
-def cut_in_two(fleet, rng):
+def cut_centre(fleet, rng):
     """Partition the instances into two sides."""
     fleet.cut({name: name % 3 == 0 for name in fleet.nodes})
 
@@ -109,7 +109,7 @@
     for function in (
         cut_some,
         cut_all,
-        cut_in_two,
+        cut_centre,
         heal,
         freeze_some,
         restart_some,
