--- a/src/chervilwing/dialects.py
+++ b/src/chervilwing/dialects.py
@@ -1,7 +1,8 @@
-"""How the gateway's callers and upstreams say what it has to know of a request.
+"""Translation between HTTP header fields and the gateway's own types.
 
-The gateway itself reads no header but those of HTTP. A dialect reads the caller's into
-a Demand, writes the upstream's, and judges what an upstream answered.
+The gateway itself reads standard HTTP header fields only. A dialect reads a caller's
+header fields into a Demand, writes those of a request to an upstream, and interprets
+those of the upstream's answer.
 """
 
 import uuid
@@ -32,11 +33,12 @@
 
 
 class Verdict(NamedTuple):
-    """What the head of an upstream's answer says.
+    """What the status and header fields of an upstream's answer state.
 
-    ``not_run`` is a promise. ``sound`` is False for an answer that can't be the
-    upstream's own. ``limit`` are the requests a second that the upstream takes from all
-    instances together: infinity where it names none, None where that isn't known.
+    ``not_run`` means that the request certainly has not run and never will. ``sound``
+    is False for an answer that the upstream itself can't have sent. ``limit`` is the
+    rate, in requests per second, that the upstream accepts from all instances together:
+    infinity if it states no limit, None if that is unknown.
     """
 
     not_run: bool = False
@@ -45,9 +47,11 @@
 
 
 class Errand(NamedTuple):
-    """One attempt: to which upstream, for whom, with how many seconds left.
+    """Data of one attempt that is written into its header fields.
 
-    ``source`` is the Address of an upstream that may have what this one lacks.
+    ``seconds_left`` is the time until the deadline, ``urgency`` a priority (0 is most
+    urgent), ``last_event`` the id after which a stream resumes. ``source`` is the
+    Address of another upstream from which this one may fetch parts of the prompt.
     """
 
     upstream: str
@@ -59,49 +63,51 @@
 
 
 class Dialect(NamedTuple):
-    """The functions in which one platform's headers differ from another's.
-
-    ``read_demand`` takes a request, the time now and the most seconds it may take.
-    ``write_headers`` takes the caller's header fields and the Errand. ``judge`` takes
-    status and fields of an answer, ``is_for`` tells whether it belongs to the request
-    of that id. ``cost`` is what a request takes from its organisation's allowance, and
-    ``write_return`` writes the seconds until a caller may come back.
+    """The functions that depend on a platform's header fields.
+
+    ``read_demand`` accepts a request, the current time and the route's time limit in
+    seconds, and returns a Demand. ``write_headers`` accepts the caller's header fields
+    and an Errand, and returns the fields for the upstream. ``judge`` accepts the status
+    and header fields of an answer and returns a Verdict. ``belongs_to`` accepts the
+    head of an answer and a request id, and returns whether they match. ``measure_cost``
+    returns what a request is charged to its organisation's allowance.
+    ``format_retry_after`` accepts seconds and returns the value of Retry-After.
     """
 
     read_demand: Callable
     write_headers: Callable
     judge: Callable
-    is_for: Callable
-    cost: Callable
-    write_return: Callable
+    belongs_to: Callable
+    measure_cost: Callable
+    format_retry_after: Callable
 
 
 def end_to_end(headers):
-    """Return the fields that are passed on (RFC 9110, section 7.6.1)."""
-    named = headers.get("connection", "").lower().split(",")
-    left_out = HOP_BY_HOP | {name.strip() for name in named}
-    return {name: value for name, value in headers.items() if name not in left_out}
+    """Return the fields without the hop-by-hop ones (RFC 9110, section 7.6.1)."""
+    connection_fields = headers.get("connection", "").lower().split(",")
+    excluded = HOP_BY_HOP | {name.strip() for name in connection_fields}
+    return {name: value for name, value in headers.items() if name not in excluded}
 
 
-def _read_demand(req, now, longest):
-    given = req.headers.get("chervilwing-timeout", "")
-    seconds = float(given) if given.replace(".", "", 1).isdigit() else longest
+def _read_demand(req, now, time_limit):
+    timeout = req.headers.get("chervilwing-timeout", "")
+    seconds = float(timeout) if timeout.replace(".", "", 1).isdigit() else time_limit
     request_id = req.headers.get("x-request-id") or uuid.uuid4().hex
-    return Demand(request_id, now + min(seconds, longest))
+    return Demand(request_id, now + min(seconds, time_limit))
 
 
 def _write_headers(headers, errand):
-    kept = end_to_end(headers)
-    kept.pop("authorization", None)
-    kept["chervilwing-timeout"] = f"{errand.seconds_left:.3f}"
-    kept["chervilwing-customer"] = errand.organisation
+    fields = end_to_end(headers)
+    fields.pop("authorization", None)
+    fields["chervilwing-timeout"] = f"{errand.seconds_left:.3f}"
+    fields["chervilwing-customer"] = errand.organisation
     if errand.last_event:
-        kept["last-event-id"] = errand.last_event
-    return kept
+        fields["last-event-id"] = errand.last_event
+    return fields
 
 
 def read_limit(text):
-    """Return the requests a second that a header field names, or None."""
+    """Return the requests per second that a header field states, or None."""
     try:
         limit = float(text)
     except ValueError:
@@ -114,18 +120,26 @@
     return Verdict(not_run, limit=read_limit(headers.get("chervilwing-limit", "inf")))
 
 
-def _is_for(head, request_id):
+def _belongs_to(head, request_id):
     return head.headers.get("x-request-id", request_id) == request_id
 
 
-def _write_return(seconds):
-    # RFC 9110, section 10.2.3: whole seconds; rounding up keeps the promise.
+def _format_retry_after(seconds):
+    # RFC 9110, section 10.2.3: whole seconds. Rounding up ensures that the caller does
+    # not return too early.
     return str(max(1, ceil(seconds)))
 
 
-def _cost(demand, organisation):
+def _measure_cost(demand, organisation):
     return 1.0
 
 
-# The product's own header fields, for use without a platform.
-PLAIN = Dialect(_read_demand, _write_headers, _judge, _is_for, _cost, _write_return)
+# The project's own header fields, for use without a platform.
+PLAIN = Dialect(
+    _read_demand,
+    _write_headers,
+    _judge,
+    _belongs_to,
+    _measure_cost,
+    _format_retry_after,
+)
--- a/src/chervilwing/events.py
+++ b/src/chervilwing/events.py
@@ -1,17 +1,18 @@
-"""The pieces of an event stream: whole events, each with its id."""
+"""Splitting of a server-sent event stream into complete events."""
 
 import re
 
-EVENT_ENDS = (b"\n\n", b"\r\n\r\n", b"\r\r")
+EVENT_DELIMITERS = (b"\n\n", b"\r\n\r\n", b"\r\r")
 EVENT_ID = re.compile(rb"(?:^|[\r\n])id: ?([^\r\n]*)")
 
 
 class EventReader:
-    """Cuts a stream into whole events, so that it can go on at another upstream.
+    """Splits a stream into complete events, so that another upstream can resume it.
 
-    Guard: an upstream may end in the middle of an event. Passed on as it came, that
-    half and the next run's first event would be read as one; only whole events are
-    handed on, and a repeated run's events that the caller has are left out.
+    An upstream may fail in the middle of an event. If the incomplete event were
+    relayed, the caller would read it and the next upstream's first event as one, so
+    only complete events are relayed. ``last_id`` is the id of the last of them, after
+    which the next upstream resumes.
     """
 
     def __init__(self):
@@ -19,21 +20,25 @@
         self._buffer = b""
 
     @property
-    def inside(self):
-        """Tell whether a part of an event waits for its end."""
+    def has_partial(self):
+        """Return whether an incomplete event is buffered."""
         return bool(self._buffer)
 
     def feed(self, data):
-        """Return the whole events that these bytes complete, as bytes."""
+        """Return the events that these bytes complete, as bytes."""
         data = self._buffer + data
-        ends = [data.rfind(mark) + len(mark) for mark in EVENT_ENDS if mark in data]
+        ends = [
+            data.rfind(delimiter) + len(delimiter)
+            for delimiter in EVENT_DELIMITERS
+            if delimiter in data
+        ]
         end = max(ends, default=0)
-        whole, self._buffer = data[:end], data[end:]
-        ids = EVENT_ID.findall(whole)
+        complete, self._buffer = data[:end], data[end:]
+        ids = EVENT_ID.findall(complete)
         if ids:
             self.last_id = ids[-1].decode("latin-1")
-        return whole
+        return complete
 
     def restart(self):
-        """Drop the half event of a run that broke off."""
+        """Drop the incomplete event of an attempt that failed."""
         self._buffer = b""
--- a/src/chervilwing/gateway.py
+++ b/src/chervilwing/gateway.py
@@ -1,11 +1,11 @@
-"""The gateway: callers' requests by route to the upstreams of a pool."""
+"""The gateway: routes callers' requests to the upstreams of a pool."""
 
 import random
 
 from circuits.core import BaseComponent, handler
 
 from .allowances import Allowances
-from .attempts import RETURN_WAIT, Attempts
+from .attempts import RETRY_AFTER, Attempts
 from .balancing import PoolBalance
 from .clocks import STARTED_AT, read_boottime
 from .crash_watch import CrashWatch
@@ -32,32 +32,35 @@
 from .upstream_limits import UpstreamLimits
 from .web import Web, WebHandlers, WebOptions
 
-# Spread of the times to come back: with one figure for all, everyone returns at once.
-RETURN_SPREAD = (0.5, 1.5)
-# Seconds until a caller that met a stopping instance may try another one.
-STOP_WAIT = 0.1
-# An estimate errs by about a quarter; beyond this part of what is left it is hopeless.
+# Least and greatest random factor on Retry-After, so that refused callers do not all
+# return at the same moment.
+RETRY_AFTER_JITTER = (0.5, 1.5)
+# Seconds after which a caller that reached a stopping instance may try another one.
+STOPPING_RETRY_AFTER = 0.1
+# A request is refused if its estimated time exceeds this part of the time left until
+# its deadline. Estimates err by about a quarter.
 HOPELESS_PART = 0.9
-# Seconds that a request waits for its customer's credit at most, and part of its
-# latency target: those who grant it answer in some milliseconds, through two of them.
-CREDIT_WAIT = 0.15
-CREDIT_PART = 0.125
-# Times its estimate, and seconds beside, after which an answer's beginning is slow: a
-# bad version may answer several times slower.
-SLOW_TIMES = 3.0
-SLOW_MORE = 0.1
-# Name under which requests of open routes are counted; no organisation can have it.
-OPEN = "(open)"
-
-
-class Limits:
-    """The limits on callers in force, read by the web side at each use."""
+# A request waits for its customer's credit at most this many seconds, and at most this
+# part of its latency target. The instances that grant credit answer in milliseconds,
+# also when a second instance has to be asked.
+MAX_CREDIT_WAIT = 0.15
+MAX_CREDIT_WAIT_PART = 0.125
+# An answer counts as slow if its first byte takes longer than this factor times the
+# estimate, plus this many seconds. A faulty version may be several times slower.
+SLOW_FACTOR = 3.0
+SLOW_MARGIN = 0.1
+# Metric label of requests to open routes; no organisation can have this name.
+OPEN_LABEL = "(open)"
+
+
+class CurrentLimits:
+    """The current limits on callers; the web server reads them at each use."""
 
     def __init__(self, limits):
-        self.set(limits)
+        self.update(limits)
 
-    def set(self, limits):
-        """Put other limits in force."""
+    def update(self, limits):
+        """Apply new limits."""
         self.head_limit = limits.head_bytes
         self.body_limit = limits.body_bytes
         self.head_timeout = limits.head_timeout
@@ -67,116 +70,119 @@
 class Gateway(BaseComponent):
     """Own the requests between callers and registered upstreams.
 
-    ``knows_keys`` tells whether what is known of keys is fresh enough to honour them.
+    ``keys_are_fresh()`` returns whether this instance's copy of the API keys is recent
+    enough to accept them.
     """
 
     channel = "gateway"
 
-    def __init__(self, cfg, poller, client, dialect, knows_keys):
+    def __init__(self, cfg, poller, client, dialect, keys_are_fresh):
         super().__init__()
         self.cfg = cfg
         self.table = None
         self.registry = Registry()
         self.allowances = Allowances(cfg.name, cfg.incarnation, STARTED_AT)
-        # Called when a request has to wait for credit.
+        # Called when a request has to wait for its customer's credit.
         self.on_lacking = lambda: None
         self._waiting = []
         self.placing = PlacingHooks()
         self.rollouts = Rollouts()
         self.crashes = CrashRecords(cfg.name)
-        self.upstream_limits = UpstreamLimits(self.allowances, self._note_limit)
+        self.upstream_limits = UpstreamLimits(self.allowances, self._report_limit)
         self.retries = RetryShares(self)
         self.relays = set()
         self.pools = {}
         self.stats = Stats(cfg.stats_pairs)
-        self.limits = Limits(cfg.limits)
-        self.on_run = lambda organisation, seconds_ago: None
-        # Returns since when registrations are known as of late without a break.
+        self.limits = CurrentLimits(cfg.limits)
+        self.on_usage = lambda organisation, seconds_ago: None
+        # Returns since when the copy of the registrations has been up to date without
+        # interruption.
         self.registrations_since = lambda: float("inf")
         self.draining = False
         self.crash_watch = CrashWatch(poller, self, client).register(self)
         self._attempts = Attempts(self, client, dialect)
         self._dialect = dialect
-        self._knows_keys = knows_keys
+        self._keys_are_fresh = keys_are_fresh
         self._rng = random.Random()
-        handlers = WebHandlers(self._requested, self._left)
+        handlers = WebHandlers(self._on_request, self._on_caller_left)
         options = WebOptions(chunked=True, half_open=False)
         self.web = Web(self.limits, poller, handlers, "callers", options).register(self)
 
     def configure(self, document):
-        """Put a routing document in force, unless a newer one is."""
+        """Apply a routing document and return True, unless it is not newer."""
         if self.table is not None and document.version <= self.table.document.version:
             return False
         self.table = RoutingTable(document)
-        self.limits.set(document.limits)
+        self.limits.update(document.limits)
         self.allowances.configure(document.organisations, read_boottime())
         for name, traits in self.table.pools.items():
-            self._find_pool(name).traits = traits
+            self._get_or_create_pool(name).traits = traits
         return True
 
     def put_upstream(self, registration):
-        """Take a new or changed upstream."""
-        before = self.registry.put(registration)
-        if before is not None:
-            self.crash_watch.note_restarted(before, read_boottime())
+        """Add or update a registered upstream."""
+        previous = self.registry.put(registration)
+        if previous is not None:
+            self.crash_watch.note_restarted(previous, read_boottime())
             self.upstream_limits.note_restarted(registration.name, read_boottime())
-            self._forget_upstream(registration.name)
+            self._remove_from_pools(registration.name)
         self.rollouts.note_version(
             registration.pool, registration.version, read_boottime()
         )
-        self._find_pool(registration.pool).put(registration)
+        self._get_or_create_pool(registration.pool).put(registration)
 
     def remove_upstream(self, name, regained_at):
-        """Take note that an upstream's registration is gone.
+        """Handle the disappearance of an upstream's registration.
 
-        ``regained_at`` is when the store was last there again.
+        ``regained_at`` is when the store was last reachable again after an outage.
         """
         if self.registry.remove(name, read_boottime(), regained_at):
-            self._lose_upstream(name)
+            self._handle_lost_upstream(name)
 
     def drop_upstream(self, name):
-        """Forget an upstream at once."""
+        """Remove an upstream without a grace period."""
         self.registry.drop(name)
-        self._lose_upstream(name)
+        self._handle_lost_upstream(name)
 
     def expire_upstreams(self):
-        """Forget upstreams whose registrations didn't come back."""
+        """Remove upstreams whose registrations did not return in the grace period."""
         for name in self.registry.expire(read_boottime()):
-            self._lose_upstream(name)
+            self._handle_lost_upstream(name)
 
-    def _lose_upstream(self, name):
+    def _handle_lost_upstream(self, name):
         for pool in self.pools.values():
             station = pool.stations.get(name)
             if station is not None:
                 self.crash_watch.note_gone(station.registration, read_boottime())
-        self._forget_upstream(name)
+        self._remove_from_pools(name)
 
-    def _forget_upstream(self, name):
+    def _remove_from_pools(self, name):
         for pool in self.pools.values():
             address = pool.remove(name)
             if address is not None:
-                # The address may soon be another's; nothing of ours stays open.
+                # The address may be reassigned to another service, so that no
+                # connection to it may be reused.
                 self._attempts.retire(address)
 
-    def _note_limit(self, upstream, rate, was):
-        """Tell others that an upstream names another limit, or none any more."""
+    def _report_limit(self, upstream, rate, was):
+        """Log an upstream's new or removed limit and report it to other instances."""
         log_event("upstream limit", upstream=upstream, rate=rate, was=was)
         self.on_lacking()
 
-    def _find_pool(self, name):
+    def _get_or_create_pool(self, name):
         pool = self.pools.get(name)
         if pool is None:
             pool = PoolBalance(self.cfg.plain_pool, self.cfg.data_centre, self._rng)
             self.pools[name] = pool
         return pool
 
-    def _requested(self, exchange):
+    def _on_request(self, exchange):
         now = read_boottime()
         try:
             relay = self._admit(exchange, now)
-            sent = self._start(relay, now)
+            sent = self._charge_and_place(relay, now)
         except ChervilwingError as exc:
-            self._refuse_unsent(exchange, exc)
+            self._log_and_refuse(exchange, exc)
             return
         exchange.tag = relay
         self.relays.add(relay)
@@ -185,29 +191,31 @@
             self.allowances.wait(relay.organisation, relay.cost)
             self.on_lacking()
 
-    def _refuse_unsent(self, exchange, exc):
-        log_request(describe_refusal(exchange.req, exc, self._read_version()))
+    def _log_and_refuse(self, exchange, exc):
+        log_request(describe_refusal(exchange.req, exc, self._get_document_version()))
         self.refuse(exchange, exc)
 
     def _admit(self, exchange, now):
-        """Return the request, or raise why it may not be served."""
+        """Return the Relay of a request, or raise the reason for refusing it."""
         req = exchange.req
         if self.draining:
-            raise NotReady("This instance is stopping.", retry_after=STOP_WAIT)
+            raise NotReady(
+                "This instance is stopping.", retry_after=STOPPING_RETRY_AFTER
+            )
         if self.table is None:
-            raise NoConfiguration(retry_after=RETURN_WAIT)
+            raise NoConfiguration(retry_after=RETRY_AFTER)
         route = self.table.find_route(req.headers.get("host", ""), req.path)
         organisation = self._find_organisation(route, req)
         demand = self._dialect.read_demand(req, now, route.time_limit)
-        pool = self._find_pool(pick_target(route, self._rng.random()))
+        pool = self._get_or_create_pool(pick_target(route, self._rng.random()))
         relay = Relay(exchange, route, organisation, pool, demand, now)
-        relay.cost = self._dialect.cost(demand, organisation)
-        relay.drawn = self._rng.random()
+        relay.cost = self._dialect.measure_cost(demand, organisation)
+        relay.rollout_draw = self._rng.random()
         self.crashes.check(relay.fingerprint, now)
         return relay
 
-    def _start(self, relay, now):
-        """Place a request, or tell that the credit for it isn't here yet."""
+    def _charge_and_place(self, relay, now):
+        """Charge and place a request; return False while its credit is missing."""
         if not self.allowances.charge(relay.organisation, relay.cost, now):
             return False
         relay.charged_at = now
@@ -216,7 +224,7 @@
         return True
 
     def choose(self, relay, now):
-        """Return the best upstream by what is known here, or None without one."""
+        """Return this instance's best (upstream, estimate), or None without one."""
         origin = self.placing.read_origin()
         exhausted = self.upstream_limits.list_exhausted(relay.pool.stations, now)
         if origin is not None and origin.placer:
@@ -224,140 +232,140 @@
         excluded = exhausted | self.list_excluded(relay, now)
         return relay.pool.choose(relay.demand, excluded, now, origin)
 
-    def permit_send(self, relay, found, now):
-        """Raise unless a request may be sent to what was found for it.
+    def check_send(self, relay, choice, now):
+        """Raise unless a request may be sent to the upstream chosen for it.
 
-        Each send of a request comes through here. The upstream's own limit is looked at
-        last, as its credit is spent with that.
+        Every send of a request passes this check. The upstream's own limit is checked
+        last, because that check consumes its credit.
         """
         self.crashes.check(relay.fingerprint, now)
-        if found is None:
-            raise self._explain_none(relay.pool)
-        station, estimate = found
+        if choice is None:
+            raise self._make_unavailable_error(relay.pool)
+        station, estimate = choice
         if relay.station is None:
-            self._check_room(relay, estimate, now)
+            self._check_capacity(relay, estimate, now)
         if estimate.charged:
             return
         if not self.upstream_limits.charge(station.registration.name, now):
-            raise self._explain_none(relay.pool)
+            raise self._make_unavailable_error(relay.pool)
 
-    def _explain_none(self, pool):
-        """Return the refusal where no upstream takes a request."""
+    def _make_unavailable_error(self, pool):
+        """Return the error for a request that no upstream of the pool can accept."""
         scope = Scope("pool", pool.traits.name)
         wait = self.upstream_limits.measure_wait(pool.stations)
         if wait is None:
-            return NoUpstream(scope=scope, retry_after=RETURN_WAIT)
+            return NoUpstream(scope=scope, retry_after=RETRY_AFTER)
         return PoolLimited(scope=scope, retry_after=wait)
 
     def list_excluded(self, relay, now):
-        """Return the names of the upstreams to which a request may not go."""
-        drawn = None if relay.attempts else relay.drawn
+        """Return the names of the upstreams to which a request must not be sent."""
+        draw = None if relay.attempts else relay.rollout_draw
         pool = relay.pool
         name = pool.traits.name
-        excluded = self.rollouts.list_excluded(name, pool.stations, drawn, now)
-        return excluded | relay.tried if excluded else relay.tried
+        excluded = self.rollouts.list_excluded(name, pool.stations, draw, now)
+        return excluded | relay.tried_upstreams if excluded else relay.tried_upstreams
 
-    def note_answer(self, relay, failed):
-        """Count an answer that begins, or fails, as evidence of a version."""
+    def record_answer(self, relay, failed):
+        """Record the first byte or failure of an answer for the version's roll-out."""
         pool, version = relay.pool.traits.name, relay.station.registration.version
         if not self.rollouts.is_watched(pool):
             return
-        took = read_boottime() - relay.sent_at
-        slow = took > relay.estimate.seconds * SLOW_TIMES + SLOW_MORE
+        elapsed = read_boottime() - relay.sent_at
+        slow = elapsed > relay.estimate.seconds * SLOW_FACTOR + SLOW_MARGIN
         self.rollouts.note_answer(pool, version, relay.route.name, failed or slow)
 
     def place_alone(self, relay, now):
-        """Send a request to the upstream that is best by what is known here."""
+        """Send a request to the best upstream by this instance's own data."""
         self.place(relay, self.choose(relay, now), now)
 
-    def place(self, relay, found, now):
-        """Send a request that waited to the upstream found for it, or refuse it."""
+    def place(self, relay, choice, now):
+        """Send a waiting request to the upstream chosen for it, or refuse it."""
         try:
-            self._send(relay, found, now)
+            self._send(relay, choice, now)
         except ChervilwingError as exc:
-            self._drop(relay, exc)
+            self._refuse_waiting(relay, exc)
 
-    def _drop(self, relay, exc):
-        """Refuse a request that waited and was sent nowhere."""
+    def _refuse_waiting(self, relay, exc):
+        """Refuse a waiting request that was not sent to any upstream."""
         relay.over = True
         self.relays.discard(relay)
-        self._refuse_unsent(relay.exchange, exc)
+        self._log_and_refuse(relay.exchange, exc)
 
-    def _send(self, relay, found, now):
-        """Send a request; refuse at once what can't be done, if it was never sent."""
+    def _send(self, relay, choice, now):
+        """Send a request, the first time or again; raise if the first is refused."""
         if relay.station is not None:
-            self._attempts.send_again(relay, found)
+            self._attempts.resend(relay, choice)
             return
         try:
-            self.permit_send(relay, found, now)
+            self.check_send(relay, choice, now)
         except ChervilwingError:
             self.placing.note_ended(relay, None)
             self.refund(relay, now)
             raise
-        relay.pool.ask(relay.demand, found[1])
+        relay.pool.ask(relay.demand, choice[1])
         self.retries.note_first(relay.pool.traits.name)
-        self._attempts.send(relay, found)
+        self._attempts.send(relay, choice)
 
     def refund(self, relay, now):
-        """Give back what a request was charged that has not run."""
+        """Refund the charge of a request that has not run."""
         if relay.charged_at is not None:
             self.allowances.refund(
                 relay.organisation, relay.cost, now - relay.charged_at
             )
 
     def resume_waiting(self, now):
-        """Send the requests whose credit has come; refuse those that waited long."""
+        """Send waiting requests that have credit now; refuse those past the limit."""
         waiting, self._waiting = self._waiting, []
         for relay in waiting:
             try:
-                if not relay.over and not self._start(relay, now):
+                if not relay.over and not self._charge_and_place(relay, now):
                     self._keep_waiting(relay, now)
                     continue
             except ChervilwingError as exc:
-                self._drop(relay, exc)
+                self._refuse_waiting(relay, exc)
             self.allowances.stop_waiting(relay.organisation, relay.cost)
 
     def _keep_waiting(self, relay, now):
         """Leave a request waiting for credit, or raise CustomerLimit."""
-        wait = min(CREDIT_WAIT, relay.route.latency_target * CREDIT_PART)
+        wait = min(MAX_CREDIT_WAIT, relay.route.latency_target * MAX_CREDIT_WAIT_PART)
         if now - relay.received_at >= wait:
             raise self.allowances.refuse(relay.organisation, relay.cost)
         self._waiting.append(relay)
 
-    def _read_version(self):
+    def _get_document_version(self):
         return self.table.document.version if self.table else 0
 
     def _find_organisation(self, route, req):
-        """Return whose key the request has, if what is known of keys is fresh.
+        """Return the Organisation of the request's key; refuse if keys may be stale.
 
-        Guard: an instance that is cut off from the store doesn't learn that a key was
-        taken away and would go on to honour it. Nor does it know a key that was just
-        given: it refuses for now and doesn't say that the key is unknown.
+        An instance that is cut off from the store does not learn that a key was
+        revoked and would go on accepting it. It does not know newly created keys
+        either, so it refuses for now instead of reporting an unknown key.
         """
-        if not route.open and not self._knows_keys():
-            raise StaleKeys(retry_after=RETURN_WAIT)
+        if not route.open and not self._keys_are_fresh():
+            raise StaleKeys(retry_after=RETRY_AFTER)
         return self.table.find_organisation(route, req.headers.get("authorization", ""))
 
-    def _check_room(self, relay, estimate, now):
-        """Refuse at once what no upstream can do in time."""
+    def _check_capacity(self, relay, estimate, now):
+        """Raise PoolFull if the deadline can't be met or the pool is overloaded."""
         scope = Scope("pool", relay.pool.traits.name)
         seconds = estimate.seconds
-        hopeless = seconds > (relay.ends_at - now) * HOPELESS_PART
+        hopeless = seconds > (relay.deadline - now) * HOPELESS_PART
         shortest = self.table.shortest.get(scope.name, float("inf"))
         if hopeless or relay.pool.is_crowded(estimate, shortest):
             relay.pool.ask(relay.demand, estimate)
-            raise PoolFull(scope=scope, retry_after=min(seconds, RETURN_WAIT * 4))
+            raise PoolFull(scope=scope, retry_after=min(seconds, RETRY_AFTER * 4))
 
     def refuse(self, exchange, exc):
-        """Answer with a failure and a time to come back, spread over callers."""
+        """Answer with an error and a Retry-After that is randomised per caller."""
         headers = {}
         if exc.retry_after is not None:
-            seconds = exc.retry_after * self._rng.uniform(*RETURN_SPREAD)
-            headers["Retry-After"] = self._dialect.write_return(seconds)
+            seconds = exc.retry_after * self._rng.uniform(*RETRY_AFTER_JITTER)
+            headers["Retry-After"] = self._dialect.format_retry_after(seconds)
         exchange.refuse(exc, headers)
 
-    def _left(self, exchange):
-        """End the work of a caller that has left."""
+    def _on_caller_left(self, exchange):
+        """Cancel the request of a caller that has disconnected."""
         relay = exchange.tag
         if relay is None or relay.over:
             return
@@ -368,11 +376,11 @@
 
     @handler("tick", channel="*")
     def _on_tick(self):
-        """End what has used up its time."""
+        """Retry requests that wait for credit; end those past their deadline."""
         now = read_boottime()
         self.resume_waiting(now)
         for relay in list(self.relays):
-            if now >= relay.ends_at:
+            if now >= relay.deadline:
                 self._expire(relay)
 
     def _expire(self, relay):
@@ -385,11 +393,11 @@
         self._attempts.give_up(relay, DeadlinePassed())
 
     def close(self, relay, outcome, status, cause=""):
-        """Take note that a request is over."""
+        """Record the end of a request in metrics and log."""
         relay.over = True
         self.relays.discard(relay)
         now = read_boottime()
-        series = self.stats.select(relay.name or OPEN, relay.route.name)
+        series = self.stats.select(relay.name or OPEN_LABEL, relay.route.name)
         series.record_outcome(outcome, cause)
         series.record_answer(now - relay.received_at)
         if relay.started_at is not None:
--- a/src/chervilwing/platform/headers.py
+++ b/src/chervilwing/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's header fields, read into the gateway's types and written from them."""
+"""The platform's header fields: decoding into the gateway's types and encoding."""
 
 import uuid
 
@@ -15,16 +15,16 @@
 EXPECTED_UPSTREAM = "x-expect-instance"
 ORGANISATION = "x-tenant"
 URGENCY = "x-request-urgency"
-# The address from which an upstream fetches what it lacks of the prompt.
+# The address from which an upstream fetches missing parts of the prompt's KV cache.
 FETCH = "kv-fetch"
 NOT_RUN = "x-not-run"
-# Signs an answer as the upstream's own.
+# Present in answers that come from the upstream itself.
 SIGNATURE = "x-server-stamp"
-# The requests a second that the upstream takes from all instances together.
+# The requests per second that the upstream accepts from all instances together.
 LIMIT = "server-limit"
 MISDIRECTED = 421
 LEAST_URGENT = 9
-# What only the gateway may say to an upstream; callers' own words are left out.
+# Fields that only the gateway may send to an upstream; a caller's are dropped.
 RESERVED = frozenset(
     {
         "authorization",
@@ -43,7 +43,7 @@
 
 
 def read_numbers(text, count):
-    """Return whole numbers of a comma list, or zeros where it is malformed."""
+    """Return ``count`` integers of a comma-separated list, zeros if it is malformed."""
     parts = text.split(",")
     if len(parts) != count or not all(part.strip().isdecimal() for part in parts):
         return (0,) * count
@@ -51,24 +51,24 @@
 
 
 def read_parts(text):
-    """Return the prompt's parts of ``ID:TOKENS,...``."""
+    """Return the PromptParts of ``ID:TOKENS,...``."""
     pairs = (entry.strip().partition(":") for entry in text.split(",") if entry)
     return tuple(
         PromptPart(name, int(tokens)) for name, _, tokens in pairs if tokens.isdecimal()
     )
 
 
-def read_demand(req, now, longest):
-    """Return what a request asks; ``longest`` are the seconds its route allows."""
+def read_demand(req, now, time_limit):
+    """Return the Demand of a request; ``time_limit`` is its route's, in seconds."""
     headers = req.headers
-    given = headers.get(DEADLINE, "")
-    seconds = int(given) / 1000 if given.isdecimal() else longest
+    deadline_ms = headers.get(DEADLINE, "")
+    seconds = int(deadline_ms) / 1000 if deadline_ms.isdecimal() else time_limit
     prompt, output = read_numbers(headers.get(TOKEN_COUNT, ""), 2)
     hint = headers.get(LENGTH_HINT, "")
     return Demand(
-        # Without one, requests are still told apart here.
+        # Requests without an id still need a unique one in the gateway.
         headers.get(REQUEST_ID) or uuid.uuid4().hex,
-        now + min(seconds, longest),
+        now + min(seconds, time_limit),
         prompt,
         output,
         int(hint) if hint.isdecimal() else output,
@@ -78,61 +78,64 @@
 
 
 def write_headers(headers, errand):
-    """Return the fields for an upstream."""
-    kept = end_to_end(headers)
-    kept = {name: value for name, value in kept.items() if name not in RESERVED}
-    kept[DEADLINE] = str(max(1, int(errand.seconds_left * 1000)))
-    kept[EXPECTED_UPSTREAM] = errand.upstream
+    """Return the header fields of an attempt at an upstream."""
+    fields = end_to_end(headers)
+    fields = {name: value for name, value in fields.items() if name not in RESERVED}
+    fields[DEADLINE] = str(max(1, int(errand.seconds_left * 1000)))
+    fields[EXPECTED_UPSTREAM] = errand.upstream
     if errand.organisation:
-        kept[ORGANISATION] = errand.organisation
+        fields[ORGANISATION] = errand.organisation
     if errand.urgency is not None:
-        kept[URGENCY] = str(min(LEAST_URGENT, max(0, errand.urgency)))
+        fields[URGENCY] = str(min(LEAST_URGENT, max(0, errand.urgency)))
     if errand.source is not None:
-        kept[FETCH] = format_address(errand.source)
+        fields[FETCH] = format_address(errand.source)
     if errand.last_event:
-        kept[LAST_EVENT] = errand.last_event
-    return kept
+        fields[LAST_EVENT] = errand.last_event
+    return fields
 
 
 def judge(status, headers):
-    """Return what an answer's head says of the request."""
+    """Return the Verdict of an answer's status and header fields."""
     if status == MISDIRECTED:
-        # Another upstream answered, which says nothing of this one.
+        # Another upstream answered at this address, so its limit is not that of the
+        # expected one.
         return Verdict(not_run=True)
     if NOT_RUN in headers:
-        return Verdict(not_run=True, limit=judge_limit(headers))
+        return Verdict(not_run=True, limit=read_stated_limit(headers))
     success = 200 <= status < 300
     sound = "content-encoding" not in headers and (SIGNATURE in headers or not success)
-    return Verdict(sound=sound, limit=judge_limit(headers) if sound else None)
+    return Verdict(sound=sound, limit=read_stated_limit(headers) if sound else None)
 
 
-def judge_limit(headers):
-    """Return the limit that an answer names; see Verdict.
+def read_stated_limit(headers):
+    """Return the limit that an answer states; see Verdict.
 
-    Guard: a failure may come from something before the upstream. That none is named
-    counts only in an answer that the upstream has signed; taken from another one, it
-    would lift a limit that holds.
+    An error may come from a proxy in front of the upstream. Therefore a missing limit
+    means "no limit" only in an answer with the upstream's signature; otherwise such an
+    error would remove a limit that still applies.
     """
-    unnamed = "inf" if SIGNATURE in headers else ""
-    return read_limit(headers.get(LIMIT, unnamed))
+    default = "inf" if SIGNATURE in headers else ""
+    return read_limit(headers.get(LIMIT, default))
 
 
-def is_for(head, request_id):
-    """Tell whether an answer belongs to the request of this id."""
+def belongs_to(head, request_id):
+    """Return whether an answer belongs to the request with this id."""
     return head.headers.get(REQUEST_ID, request_id) == request_id
 
 
 def measure_cost(demand, organisation):
-    """Return what a request takes from its organisation's allowance."""
+    """Return what a request is charged to its organisation's allowance."""
     if organisation is None or not organisation.plain_cost:
         return 1.0
     tokens = demand.prompt_tokens + demand.output_tokens
     return float(tokens or organisation.plain_cost)
 
 
-def write_return(seconds):
-    """Return the time to come back; the platform's clients read fractions."""
+def format_retry_after(seconds):
+    """Return the value of Retry-After; the platform's clients accept fractions."""
     return f"{seconds:.2f}"
 
 
-DIALECT = Dialect(read_demand, write_headers, judge, is_for, measure_cost, write_return)
+DIALECT = Dialect(
+    read_demand, write_headers, judge, belongs_to, measure_cost, format_retry_after
+)
--- a/src/chervilwing/relays.py
+++ b/src/chervilwing/relays.py
@@ -1,28 +1,29 @@
-"""One request on its way: its attempts and what its caller has read already."""
+"""State of one request: its attempts and the part of the answer already relayed."""
 
 from typing import NamedTuple
 
 from .events import EventReader
 from .fingerprints import fingerprint_repeats
 
-# Bytes of an answer that are held until it is whole, so that one that breaks off can
-# be asked for again or refused, and the caller never reads a part. Load: documents of
-# about a kilobyte. Harm: held whole, larger ones would fill a small instance's memory.
-HELD_BYTES = 262_144
+# Bytes of an answer that are buffered until it is complete, so that a broken answer can
+# be retried or refused and the caller never receives part of it. Usual answers have
+# about a kilobyte; buffering large ones would fill the memory of a small instance.
+MAX_BUFFERED_BYTES = 262_144
 
 
-# Kind of the scope of a refusal that is for one customer alone.
+# Kind of scope of a refusal that concerns one customer only.
 CUSTOMER = "customer"
 
 
 class RelayLine(NamedTuple):
-    """What is logged of one finished request; times in seconds.
-
-    ``version`` is that of the configuration it was handled by, ``expected`` and
-    ``prefill`` what decided where it went, ``source`` the upstream that it was to fetch
-    prompt parts from, ``first`` when its answer began. ``fingerprint`` is the same for
-    all tries of one request. ``limit`` are the requests a second that an answer to it
-    named for its upstream, None where none did.
+    """Log line of one finished request; times in seconds.
+
+    ``version`` is the configuration's; ``expected`` (seconds) and ``prefill`` (tokens)
+    are the estimate by which the upstream was chosen; ``source`` is the upstream from
+    which prompt parts were to be fetched; ``first`` is the time until the answer's
+    first byte. ``fingerprint`` is the same for all retries of one request. ``limit`` is
+    the limit, in requests per second, that an answer stated for its upstream, None if
+    none did.
     """
 
     request: str
@@ -47,8 +48,8 @@
 class Relay:
     """State of one request between its caller and its upstreams.
 
-    ``may_have_run`` is set by the first attempt of which nobody can say that it did not
-    run; from then on no refusal may promise that.
+    ``may_have_run`` is set by the first attempt that is not known to have not run; from
+    then on no error may state that the request has not run.
     """
 
     __slots__ = (
@@ -57,18 +58,18 @@
         "call",
         "charged_at",
         "cost",
-        "counted",
+        "usage_counted",
         "demand",
-        "drawn",
-        "ends_at",
+        "rollout_draw",
+        "deadline",
         "estimate",
         "events",
         "exchange",
         "fallback",
         "fingerprint",
         "headers",
-        "held",
-        "held_size",
+        "buffered",
+        "buffered_size",
         "limit",
         "may_have_run",
         "organisation",
@@ -80,7 +81,7 @@
         "station",
         "started_at",
         "ticket",
-        "tried",
+        "tried_upstreams",
     )
 
     def __init__(self, exchange, route, organisation, pool, demand, now):
@@ -90,30 +91,32 @@
         self.pool = pool
         self.demand = demand
         self.received_at = now
-        self.ends_at = demand.deadline
+        self.deadline = demand.deadline
         self.headers = exchange.req.headers
         self.fingerprint = fingerprint_repeats(exchange.req, self.name)
-        # From 0 to 1: which version of an upstream's software it may try.
-        self.drawn = 1.0
-        self.tried = set()
+        # Random number from 0 to 1 that decides whether a request is sent to a version
+        # that is being rolled out.
+        self.rollout_draw = 1.0
+        self.tried_upstreams = set()
         self.attempts = 0
         self.call = None
         self.station = None
-        # By what the instance knows this request that placed it, None for this one.
+        # Identifies this request to the instance that chose its upstream; None if this
+        # instance did.
         self.ticket = None
         self.estimate = None
         self.sent_at = now
         self.started_at = None
         self.answer = None
-        self.held = []
-        self.held_size = 0
+        self.buffered = []
+        self.buffered_size = 0
         self.fallback = None
         self.limit = None
         self.events = EventReader() if route.resumable else None
         self.may_have_run = False
-        self.counted = False
+        self.usage_counted = False
         self.cost = 0.0
-        # When the cost was charged, None before it was.
+        # When the cost was charged, None before that.
         self.charged_at = None
         self.over = False
 
@@ -124,19 +127,19 @@
 
     @property
     def priority(self):
-        """Return how urgent this is, 0 first; the organisation's own word wins."""
+        """Return the organisation's priority or else the route's; 0 is most urgent."""
         own = self.organisation.priority if self.organisation else None
         return self.route.priority if own is None else own
 
-    def hold(self, data):
-        """Keep a piece of the answer; tell whether there is room for more."""
-        self.held.append(data)
-        self.held_size += len(data)
-        return self.held_size <= HELD_BYTES
+    def buffer(self, data):
+        """Buffer a part of the answer; return False once the buffer is too large."""
+        self.buffered.append(data)
+        self.buffered_size += len(data)
+        return self.buffered_size <= MAX_BUFFERED_BYTES
 
-    def take_held(self):
-        """Return what is held and forget it."""
-        data, self.held, self.held_size = b"".join(self.held), [], 0
+    def take_buffered(self):
+        """Return the buffered bytes and clear the buffer."""
+        data, self.buffered, self.buffered_size = b"".join(self.buffered), [], 0
         return data
 
 
@@ -166,7 +169,7 @@
 
 
 def describe_refusal(req, exc, version):
-    """Return the log line of a request that was refused at the door."""
+    """Return the log line of a request that was refused before any attempt."""
     return RelayLine(
         request=req.headers.get("x-request-id", ""),
         customer=exc.scope.name if exc.scope.kind == CUSTOMER else "",
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -1,4 +1,4 @@
-"""A gateway of a test's own process, before raw upstreams and without a platform."""
+"""A gateway in the test's process, with scripted upstreams and without a platform."""
 
 import threading
 
@@ -44,7 +44,7 @@
 
 
 def make_settings(**changes):
-    """Return the settings of a gateway on loopback."""
+    """Return the settings of a gateway that listens on loopback."""
     cfg = GatewaySettings(
         listen=ANY,
         ready_listen=ANY,
@@ -71,23 +71,23 @@
 
 
 def make_document(version=1, **changes):
-    """Return a routing document with ROUTES."""
+    """Return a routing document with ROUTES and one pool, ``web``."""
     pools = (PoolTraits("web"),)
     document = RoutingDocument(version, ROUTES, pools, ORGANISATIONS, CallerLimits())
     return document._replace(**changes)
 
 
 class GatewayRun:
-    """A gateway whose loop runs in a thread; ``close`` ends all."""
+    """A gateway whose event loop runs in a thread; ``close`` stops it all."""
 
-    def __init__(self, dialect, *scripts, document=None, fresh=lambda: True):
+    def __init__(self, dialect, *scripts, document=None, keys_are_fresh=lambda: True):
         self.loop = Loop()
         self.client = Client(self.loop.poller, "upstreams").register(self.loop.root)
-        self.runs = []
+        self.usage = []
         self.gateway = Gateway(
-            make_settings(), self.loop.poller, self.client, dialect, fresh
+            make_settings(), self.loop.poller, self.client, dialect, keys_are_fresh
         ).register(self.loop.root)
-        self.gateway.on_run = lambda name, ago: self.runs.append(name)
+        self.gateway.on_usage = lambda name, seconds_ago: self.usage.append(name)
         self.port = self.gateway.web.listen(ANY).port
         self.gateway.allowances.set_known(1, read_boottime())
         if document is not None:
@@ -100,7 +100,7 @@
         self._thread.start()
 
     def register(self, name, port, **fields):
-        """Return a registration of an upstream on loopback."""
+        """Return the Registration of an upstream on loopback."""
         return Registration(name, "web", Address(HOST, port), "a", 8, **fields)
 
     def _run(self):
@@ -108,20 +108,22 @@
             self.loop.run_once()
 
     def close(self):
-        """End the loop and the upstreams."""
+        """Stop the event loop and the upstreams."""
         self._open = False
         self._thread.join()
         for upstream in self.upstreams:
             upstream.close()
 
     def call(self, method, path, body=b"", **headers):
-        """Make one call with the organisation's key."""
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
+        """Send one request with the organisation's key and return the answer."""
+        extra_fields = {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
         with Caller(self.port) as caller:
-            return self.send(caller, method, path, body, named)
+            return self.send(caller, method, path, body, extra_fields)
 
     def send(self, caller, method, path, body=b"", headers=()):
-        """Send one call on a connection and read its answer."""
+        """Send one request on an open connection and return the answer."""
         fields = {"Host": "a.example", **KEY, **dict(headers)}
         lines = [f"{method} {path} HTTP/1.1"]
         lines += [f"{name}: {value}" for name, value in fields.items()]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway between callers and upstreams that refuse, break off or fall silent."""
+"""Tests of the gateway with upstreams that refuse, fail or do not answer."""
 
 import socket
 import struct
@@ -6,7 +6,7 @@
 import time
 import unittest
 
-from chervilwing.attempts import count_idle
+from chervilwing.attempts import compute_idle_limit
 from chervilwing.platform.headers import DIALECT
 from chervilwing.routing import Organisation, PoolTraits
 from tests.gateways import GatewayRun, make_document
@@ -18,17 +18,17 @@
 
 
 def encode_chunk(data):
-    """Return one chunk."""
+    """Return the data as one chunk of chunked transfer coding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def make_event(number):
-    """Return one event as one chunk."""
+    """Return one server-sent event as one chunk."""
     return encode_chunk(b"id: %d\ndata: piece %d\n\n" % (number, number))
 
 
 def answer(body=b"whole", status=b"200 OK", extra=b""):
-    """Return a script that answers with a length."""
+    """Return an upstream's script that answers with a Content-Length."""
 
     def script(conn, method, path, sent):
         conn.sendall(
@@ -40,68 +40,68 @@
 
 
 def reset(conn):
-    """Close the connection with a reset."""
+    """Close the connection with a TCP reset."""
     conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     conn.close()
 
 
-def end(conn):
-    """Close the connection behind what was sent; a reset could overtake it."""
+def close_after_sent(conn):
+    """Close the connection after the sent bytes; a reset could discard them."""
     conn.shutdown(socket.SHUT_RDWR)
 
 
 def break_off(conn, method, path, body):
-    """Reset before a byte of an answer."""
+    """Reset the connection before the first byte of an answer."""
     reset(conn)
 
 
-def shed(conn, method, path, body):
-    """Refuse without running."""
+def refuse_not_run(conn, method, path, body):
+    """Refuse the request with the mark that it has not run."""
     conn.sendall(b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 4\r\n\r\nfull")
 
 
 class GatewayCase(unittest.TestCase):
     def start(self, *scripts, document=None, **options):
-        """Start a gateway before upstreams with these scripts."""
+        """Start a gateway with one upstream for each script."""
         document = make_document() if document is None else document
-        self.run_ = GatewayRun(DIALECT, *scripts, document=document, **options)
-        self.addCleanup(self.run_.close)
-        return self.run_
+        self.gateway_run = GatewayRun(DIALECT, *scripts, document=document, **options)
+        self.addCleanup(self.gateway_run.close)
+        return self.gateway_run
 
-    def start_first(self, *scripts):
-        """Start before two upstreams of which the second takes no work yet."""
+    def start_with_second_closed(self, *scripts):
+        """Start with two upstreams, the second of which accepts no requests yet."""
         run = self.start(*scripts)
         second = run.register("u1", run.upstreams[1].port, leaving=True)
         run.gateway.put_upstream(second)
         return run
 
-    def open_second(self):
-        """Let the second upstream take work."""
-        second = self.run_.register("u1", self.run_.upstreams[1].port)
-        self.run_.gateway.put_upstream(second)
+    def open_second_upstream(self):
+        """Make the second upstream accept requests."""
+        second = self.gateway_run.register("u1", self.gateway_run.upstreams[1].port)
+        self.gateway_run.gateway.put_upstream(second)
 
-    def call_until_seen(self, index, *args, check):
-        """Make calls until the upstream has seen one, and check every answer.
+    def call_until_received(self, index, *args, check):
+        """Make calls until this upstream has received one, and check every answer.
 
-        Which upstream gets a call is drawn; a test that never met the sick one would
-        pass without having shown anything.
+        The upstream of a call is chosen at random; a test whose calls all went to the
+        healthy upstream would pass without testing anything.
         """
         for _ in range(60):
-            check(self.run_.call(*args))
-            if self.run_.upstreams[index].seen:
+            check(self.gateway_run.call(*args))
+            if self.gateway_run.upstreams[index].seen:
                 return
         self.fail(f"upstream {index} got no call")
 
-    def check_served(self, found):
-        """Check that a call was answered well."""
+    def check_success(self, found):
+        """Check that a call succeeded."""
         self.assertEqual(found.status, 200)
 
-    def count_seen(self):
-        """Return how many requests reached each upstream."""
-        return [len(upstream.seen) for upstream in self.run_.upstreams]
+    def count_received(self):
+        """Return how many requests each upstream received."""
+        return [len(upstream.seen) for upstream in self.gateway_run.upstreams]
 
 
-class TestPassing(GatewayCase):
+class TestRelaying(GatewayCase):
     def test_method_path_query_and_body_pass_unchanged(self):
         run = self.start(answer())
         found = run.call("PUT", "/page/a%20b/../c?x=1&y=", b"body", X_Request_Id="r1")
@@ -111,7 +111,7 @@
         self.assertEqual((method, body), ("PUT", b"body"))
         self.assertEqual(path, "/page/a%20b/../c?x=1&y=")
 
-    def test_a_body_in_chunks_arrives_whole(self):
+    def test_a_chunked_body_arrives_complete(self):
         run = self.start(answer())
         with Caller(run.port) as caller:
             caller.send(
@@ -122,8 +122,8 @@
             self.assertEqual(caller.read_answer().status, 200)
         self.assertEqual(run.upstreams[0].seen[0][3], b"abcdefg")
 
-    def test_two_framings_are_refused_before_any_upstream(self):
-        # A second request hidden in the body would run unchecked.
+    def test_a_request_with_two_body_lengths_is_refused_and_not_sent(self):
+        # A second request smuggled in the body would run without authentication.
         run = self.start(answer())
         with Caller(run.port) as caller:
             caller.send(
@@ -132,9 +132,9 @@
                 b"GET /page/y HTTP/1.1\r\n\r\n"
             )
             self.assertEqual(caller.read_answer().status, 400)
-        self.assertEqual(self.count_seen(), [0])
+        self.assertEqual(self.count_received(), [0])
 
-    def test_what_only_the_system_may_say_is_left_out(self):
+    def test_reserved_header_fields_of_callers_are_dropped(self):
         run = self.start(answer())
         run.call(
             "GET",
@@ -152,7 +152,7 @@
         for name in ("x-hold", "kv-from", "x-kv-backup", "x-pin-ms", "authorization"):
             self.assertNotIn(name, fields)
 
-    def test_the_deadline_is_what_is_left(self):
+    def test_the_upstream_receives_the_remaining_time(self):
         run = self.start(answer())
         run.call("GET", "/page/x", X_Deadline_Ms="1500")
         left = int(run.upstreams[0].heads[0][1]["x-deadline-ms"])
@@ -166,7 +166,7 @@
         found = self.start(script).call("GET", "/page/x")
         self.assertEqual((found.body, found.whole), (b"all of it", True))
 
-    def test_answers_without_a_body_keep_their_form(self):
+    def test_answers_without_a_body_are_relayed_without_one(self):
         def script(conn, method, path, body):
             status = b"204 No Content" if method == "DELETE" else b"200 OK"
             length = b"" if method == "DELETE" else b"Content-Length: 700\r\n"
@@ -185,132 +185,132 @@
         self.assertEqual(found.status, 204)
         self.assertNotIn("content-length", found.headers)
 
-    def test_unused_connections_leave_room_for_a_large_fleet(self):
+    def test_an_instance_keeps_fewer_idle_connections_in_a_larger_fleet(self):
         traits = PoolTraits("web", connections=470)
         for instances, most in ((7, 8), (68, 2), (320, 1)):
-            self.assertEqual(count_idle(traits, instances), most)
+            self.assertEqual(compute_idle_limit(traits, instances), most)
 
 
 class TestRefusals(GatewayCase):
-    def test_without_a_configuration_the_caller_is_told_to_come_back(self):
+    def test_without_a_configuration_requests_are_refused_with_retry_after(self):
         run = GatewayRun(DIALECT)
         self.addCleanup(run.close)
         found = run.call("GET", "/page/x")
         self.assertEqual(found.status, 503)
         self.assertLess(float(found.headers["retry-after"]), 1.0)
 
-    def test_unknown_routes_and_keys(self):
+    def test_unknown_routes_and_keys_are_refused(self):
         run = self.start(answer())
         self.assertEqual(run.call("GET", "/none/x").status, 404)
         self.assertEqual(
             run.call("GET", "/page/x", Authorization="Bearer k9").status, 401
         )
-        self.assertEqual(self.count_seen(), [0])
+        self.assertEqual(self.count_received(), [0])
 
-    def test_keys_known_too_long_ago_are_not_honoured(self):
-        # An instance is cut off from the store while a key is taken away: it would go
-        # on to honour it for as long as the cut lasts.
-        run = self.start(answer(), fresh=lambda: False)
+    def test_stale_keys_are_refused(self):
+        # An instance is cut off from the store while a key is revoked: it would accept
+        # the key until the connection returns.
+        run = self.start(answer(), keys_are_fresh=lambda: False)
         self.assertEqual(run.call("GET", "/page/x").status, 503)
-        self.assertEqual(self.count_seen(), [0])
+        self.assertEqual(self.count_received(), [0])
 
-    def test_a_used_up_allowance_says_when_to_return(self):
+    def test_an_exhausted_allowance_is_refused_with_retry_after(self):
         small = Organisation("insurer", ("k1",), rate=1.0, burst=1.0)
         run = self.start(answer(), document=make_document(organisations=(small,)))
-        # An instance that starts has no credit; it comes in at the rate.
+        # A starting instance has no credit; it accrues at the allowance's rate.
         time.sleep(small.burst / small.rate)
         self.assertEqual(run.call("GET", "/page/x").status, 200)
         found = run.call("GET", "/page/x")
         self.assertEqual(found.status, 429)
         self.assertGreater(float(found.headers["retry-after"]), 0.0)
-        self.assertEqual(self.count_seen(), [1])
+        self.assertEqual(self.count_received(), [1])
 
-    def test_no_upstream_is_refused_at_once(self):
+    def test_a_request_without_an_upstream_is_refused(self):
         self.assertEqual(self.start().call("GET", "/page/x").status, 503)
 
 
 class TestFailures(GatewayCase):
-    def test_an_idempotent_request_goes_elsewhere(self):
+    def test_an_idempotent_request_is_retried_at_another_upstream(self):
         self.start(break_off, answer())
-        self.call_until_seen(0, "GET", "/page/x", check=self.check_served)
+        self.call_until_received(0, "GET", "/page/x", check=self.check_success)
 
-    def test_what_may_have_run_is_never_sent_twice_nor_called_unrun(self):
-        # The upstream books the note and its answer is lost: sent once more, the note
-        # would be booked twice; called not run, its caller would send it again.
+    def test_a_non_idempotent_request_that_may_have_run_is_not_retried(self):
+        # The upstream books the note and its answer is lost. If the gateway retried, or
+        # reported that the request had not run, the note would be booked twice.
         run = self.start(break_off, break_off)
         found = run.call("POST", "/note/x", b"n")
         self.assertEqual(found.status, 502)
-        self.assertEqual(sum(self.count_seen()), 1)
+        self.assertEqual(sum(self.count_received()), 1)
 
-    def test_what_an_upstream_refused_unrun_goes_elsewhere(self):
-        self.start(shed, answer())
-        self.call_until_seen(0, "POST", "/note/x", b"n", check=self.check_served)
+    def test_a_request_refused_as_not_run_is_retried_elsewhere(self):
+        self.start(refuse_not_run, answer())
+        self.call_until_received(0, "POST", "/note/x", b"n", check=self.check_success)
 
-    def test_refused_everywhere_is_called_not_run(self):
-        run = self.start(shed, shed)
+    def test_a_request_refused_by_all_upstreams_is_reported_as_not_run(self):
+        run = self.start(refuse_not_run, refuse_not_run)
         found = run.call("POST", "/note/x", b"n")
         self.assertEqual(found.status, 503)
         self.assertIn("retry-after", found.headers)
 
-    def test_a_dead_address_is_left_for_another(self):
+    def test_an_unreachable_upstream_is_replaced_by_another(self):
         run = self.start(answer())
         run.gateway.put_upstream(run.register("gone", 1))
         for _ in range(4):
             self.assertEqual(run.call("POST", "/note/x", b"n").status, 200)
 
-    def test_what_reached_nobody_is_called_not_run(self):
-        # A data centre is cut off and none of its upstreams can be reached. Told by a
-        # status that promises nothing, the caller of a note may not try again.
+    def test_a_request_that_reached_no_upstream_is_reported_as_not_run(self):
+        # A data centre is cut off and none of its upstreams can be reached. After a
+        # status that leaves open whether the note has run, its caller may not retry it.
         run = self.start()
         run.gateway.put_upstream(run.register("gone", 1))
         found = run.call("POST", "/note/x", b"n")
         self.assertEqual(found.status, 503)
         self.assertIn("retry-after", found.headers)
 
-    def test_upstreams_out_of_reach_are_no_attempts(self):
-        # The route allows one attempt; two upstreams can't be reached, the third can.
+    def test_unreachable_upstreams_do_not_count_as_attempts(self):
+        # The route allows one attempt; two of the three upstreams are unreachable.
         run = self.start(answer())
         for name, port in (("gone1", 1), ("gone2", 2)):
             run.gateway.put_upstream(run.register(name, port))
         for _ in range(4):
             self.assertEqual(run.call("GET", "/short/x").status, 200)
-        self.assertEqual(self.count_seen(), [4])
+        self.assertEqual(self.count_received(), [4])
 
-    def test_a_cut_answer_is_asked_for_again_and_no_part_is_shown(self):
-        def cut(conn, method, path, body):
+    def test_a_truncated_answer_is_retried_and_not_relayed(self):
+        def truncate(conn, method, path, body):
             conn.sendall(SIGNED + b"Content-Length: 9\r\n\r\nhalf")
-            end(conn)
+            close_after_sent(conn)
 
         def check(found):
             self.assertEqual(found.body, b"the whole")
 
-        self.start(cut, answer(b"the whole"))
-        self.call_until_seen(0, "GET", "/page/x", check=check)
+        self.start(truncate, answer(b"the whole"))
+        self.call_until_received(0, "GET", "/page/x", check=check)
 
-    def test_an_unsigned_success_is_not_the_upstreams_answer(self):
+    def test_a_success_without_the_upstreams_signature_is_not_relayed(self):
         def unsigned(conn, method, path, body):
             conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
 
         run = self.start(unsigned, unsigned)
         self.assertEqual(run.call("GET", "/page/x").status, 502)
 
-    def test_a_failure_of_the_upstream_passes_as_it_is(self):
+    def test_an_error_of_the_upstream_is_relayed_unchanged(self):
         run = self.start(answer(b"broken", b"500 Oops"), answer(b"broken", b"500 Oops"))
         found = run.call("GET", "/page/x")
         self.assertEqual((found.status, found.body), (500, b"broken"))
-        self.assertEqual(self.count_seen(), [1, 1])
+        self.assertEqual(self.count_received(), [1, 1])
 
-    def test_the_answer_to_an_earlier_request_is_passed_over(self):
-        # A faulty upstream answers twice; the second answer comes as the next request
-        # waits on the connection, and its caller would read a stranger's answer.
-        def twice(conn, method, path, body):
+    def test_an_answer_to_an_earlier_request_is_discarded(self):
+        # A faulty upstream answers a request twice. The second answer arrives while the
+        # next request waits on the connection, whose caller would receive it.
+        def answer_twice(conn, method, path, body):
             name = path.rpartition("/")[2].encode()
             head = b"X-Request-Id: %b\r\n"
             if name == b"r2":
                 answer(b"old", extra=head % b"r1")(conn, method, path, body)
             answer(name, extra=head % name)(conn, method, path, body)
 
-        run = self.start(twice)
+        run = self.start(answer_twice)
         with Caller(run.port) as caller:
             for name in ("r1", "r2", "r3"):
                 found = run.send(
@@ -318,20 +318,20 @@
                 )
                 self.assertEqual(found.body, name.encode())
 
-    def test_the_time_limit_of_a_route_ends_in_an_answer(self):
+    def test_a_request_past_its_routes_time_limit_is_answered_with_504(self):
         hold = threading.Event()
         self.addCleanup(hold.set)
         run = self.start(lambda *args: hold.wait(9))
         self.assertEqual(run.call("GET", "/short/x").status, 504)
 
-    def test_a_caller_that_leaves_ends_the_work(self):
+    def test_a_callers_disconnect_cancels_its_request(self):
         gone = threading.Event()
 
-        def work(conn, method, path, body):
+        def run_until_disconnect(conn, method, path, body):
             if not conn.recv(1):
                 gone.set()
 
-        run = self.start(work)
+        run = self.start(run_until_disconnect)
         with Caller(run.port) as caller:
             caller.send(
                 b"GET /page/x HTTP/1.1\r\nHost: a.example\r\n"
@@ -342,7 +342,7 @@
 
 
 class TestStreams(GatewayCase):
-    def test_events_pass_as_they_come(self):
+    def test_events_are_relayed_without_delay(self):
         hold = threading.Event()
         self.addCleanup(hold.set)
 
@@ -362,54 +362,54 @@
             hold.set()
             self.assertIn(b"piece 2", caller.read_chunk())
             self.assertEqual(caller.read_chunk(), b"")
-        self.assertEqual(run.runs, ["insurer"])
+        self.assertEqual(run.usage, ["insurer"])
 
-    def test_a_stream_that_breaks_off_never_looks_whole(self):
+    def test_a_broken_stream_never_appears_complete(self):
         def script(conn, method, path, body):
             conn.sendall(EVENTS + make_event(1))
-            end(conn)
+            close_after_sent(conn)
 
         found = self.start(script, script).call("POST", "/chat/x")
         self.assertFalse(found.whole)
-        self.assertEqual(sum(self.count_seen()), 1)
+        self.assertEqual(sum(self.count_received()), 1)
 
-    def test_a_stream_goes_on_elsewhere_at_the_next_whole_event(self):
-        # The first upstream dies in the middle of its third event: the caller reads
-        # each event once, under the first upstream's head.
-        def dying(conn, method, path, body):
+    def test_a_stream_is_resumed_elsewhere_after_the_last_complete_event(self):
+        # The first upstream fails in the middle of its third event: the caller must
+        # read each event once, in the answer that the first upstream began.
+        def failing(conn, method, path, body):
             conn.sendall(EVENTS + make_event(1) + make_event(2))
             conn.sendall(encode_chunk(b"id: 3\ndata: pie"))
-            self.open_second()
-            end(conn)
+            self.open_second_upstream()
+            close_after_sent(conn)
 
-        def going_on(conn, method, path, body):
+        def resuming(conn, method, path, body):
             first = int(run.upstreams[1].heads[-1][1].get("last-event-id", 0)) + 1
             pieces = b"".join(make_event(n) for n in range(first, 5))
             conn.sendall(EVENTS + pieces + b"0\r\n\r\n")
 
-        run = self.start_first(dying, going_on)
+        run = self.start_with_second_closed(failing, resuming)
         found = run.call("POST", "/quote/x")
         self.assertTrue(found.whole)
         pieces = [b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, 5)]
         self.assertEqual(found.body, b"".join(pieces))
-        self.assertEqual(self.count_seen(), [1, 1])
+        self.assertEqual(self.count_received(), [1, 1])
 
-    def test_a_failure_never_stands_in_the_middle_of_a_stream(self):
-        # A stream goes on elsewhere, and that upstream answers with a failure: passed
-        # on, its body would be read as an event.
-        def dying(conn, method, path, body):
+    def test_an_error_body_is_never_inserted_into_a_stream(self):
+        # A stream is resumed at another upstream, which answers with an error: if its
+        # body were relayed, the caller would read it as an event.
+        def failing(conn, method, path, body):
             conn.sendall(EVENTS + make_event(1))
-            self.open_second()
-            end(conn)
+            self.open_second_upstream()
+            close_after_sent(conn)
 
-        run = self.start_first(dying, answer(b"broken", b"500 Oops"))
+        run = self.start_with_second_closed(failing, answer(b"broken", b"500 Oops"))
         found = run.call("POST", "/quote/x")
         self.assertEqual(found.body, b"id: 1\ndata: piece 1\n\n")
         self.assertFalse(found.whole)
-        self.assertEqual(self.count_seen(), [1, 1])
+        self.assertEqual(self.count_received(), [1, 1])
 
 
-class TestUpstreamsThatLeave(GatewayCase):
+class TestUpstreamChanges(GatewayCase):
     def test_a_leaving_upstream_gets_no_new_work(self):
         run = self.start(answer(b"one"), answer(b"two"))
         leaving = run.register("u0", run.upstreams[0].port, leaving=True)
@@ -417,27 +417,28 @@
         bodies = {run.call("GET", "/page/x").body for _ in range(6)}
         self.assertEqual(bodies, {b"two"})
 
-    def test_an_address_used_again_by_another_gets_nothing_to_run(self):
+    def test_a_request_refused_at_a_reassigned_address_is_retried_elsewhere(self):
         # The upstream is gone and another service answers at its address: it refuses
-        # what expects another instance, and the request goes where it belongs.
+        # requests for another instance with 421, and the gateway retries elsewhere.
         def other(conn, method, path, body):
             conn.sendall(b"HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n")
 
         self.start(other, answer())
-        self.call_until_seen(0, "POST", "/note/x", b"n", check=self.check_served)
+        self.call_until_received(0, "POST", "/note/x", b"n", check=self.check_success)
 
-    def test_connections_to_one_that_is_gone_are_closed(self):
-        # Its address is given to another service; a kept connection would lead there.
+    def test_connections_to_a_removed_upstream_are_closed(self):
+        # The address may be reassigned to another service, which would then receive
+        # requests through a connection that was kept.
         run = self.start(answer())
         run.call("GET", "/page/x")
         poll(lambda: run.client.count_idle() == 1)
         run.gateway.remove_upstream("u0", float("-inf"))
         self.assertEqual(run.client.count_idle(), 0)
 
-    def test_one_that_started_again_gets_new_connections_and_no_old_credit(self):
-        # An upstream restarts under its name. A kept connection to the process before
-        # looks open until something is sent on it, and that may have run for all that
-        # anybody can tell; its caller could not even be told to come back.
+    def test_a_restarted_upstream_gets_new_connections_and_new_state(self):
+        # An upstream restarts under its old name. A pooled connection to the previous
+        # process looks open until a request is sent on it. It is then unknown whether
+        # the request ran, so a non-idempotent one could not be retried.
         run = self.start(answer())
         self.assertEqual(run.call("GET", "/page/x").status, 200)
         port = run.upstreams[0].port
--- a/tests/test_reloads.py
+++ b/tests/test_reloads.py
@@ -1,18 +1,19 @@
-"""Settings that change while a gateway runs."""
+"""Tests of settings that change while a gateway runs."""
 
 from tempfile import TemporaryDirectory
 
 from chervilwing.gateway_settings import FIELDS
-from chervilwing.gatewayd import RELOADED
+from chervilwing.gatewayd import RELOADABLE
 from tests.fakes.control import HOST
 from tests.procs import poll
 from tests.test_platform import PlatformCase
 
 
 class TestReloads(PlatformCase):
-    def test_a_store_that_moves_is_followed_without_a_signal(self):
-        # The platform gives its store another address and changes the settings file: a
-        # gateway that reads it only at its start would stay with the old one for good.
+    def test_a_new_store_address_is_used_without_a_signal(self):
+        # The platform's store moves to another address, which the platform writes into
+        # the settings file. A gateway that read the file only at its start would use
+        # the old address forever.
         path = f"{self.enterContext(TemporaryDirectory())}/settings"
         other = self.procs.start_fake("platform")
         write_store(path, self.platform.port)
@@ -25,11 +26,11 @@
         write_store(path, other.port)
         poll(lambda: self.call(gateway, key="k2") == 200, 15)
 
-    def test_what_is_reloaded_are_settings(self):
-        self.assertLessEqual(set(RELOADED), {field.name for field in FIELDS})
+    def test_all_reloadable_names_are_settings(self):
+        self.assertLessEqual(set(RELOADABLE), {field.name for field in FIELDS})
 
 
 def write_store(path, port):
-    """Write the settings file with the store's address."""
+    """Write a settings file with the store's address."""
     with open(path, "w", encoding="utf-8") as file:
         file.write(f"CHERVILWING_STORE={HOST}:{port}\n")
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -28,7 +28,7 @@
 CHANGED = "self.as_of = max(self.as_of, sent)"
 CROSSED = "[item for item in items if item.revision > self.revision]"
 BACK = "if self._acted_fence != self._fence and now < self._acted + self._ttl:"
-STALE = "if not route.open and not self._knows_keys():"
+STALE = "if not route.open and not self._keys_are_fresh():"
 PROBE_ANSWERED = """            self._dismiss(suspicions)
         self._streams.drop(conn)"""
 ADMITTED = "return account is None or self._allowances.charge(account, REQUEST, now)"
@@ -176,7 +176,7 @@
         ),
     ),
     Weakness(
-        "what may have run is sent again",
+        "a non-idempotent request that may have run is sent again",
         (
             Edit(
                 "attempts",
@@ -184,12 +184,12 @@
                 "if False:",
             ),
         ),
-        (FAILURES + "what_may_have_run_is_never_sent_twice_nor_called_unrun",),
+        (FAILURES + "a_non_idempotent_request_that_may_have_run_is_not_retried",),
     ),
     Weakness(
-        "a failure without a send keeps its status",
-        (Edit("attempts", "if exc.status not in PROMISES:", "if False:"),),
-        (FAILURES + "what_reached_nobody_is_called_not_run",),
+        "an unsent request is refused without the status for not run",
+        (Edit("attempts", "if exc.status not in NOT_RUN_STATUSES:", "if False:"),),
+        (FAILURES + "a_request_that_reached_no_upstream_is_reported_as_not_run",),
     ),
     Weakness(
         "an answer to an earlier request is taken",
@@ -200,37 +200,41 @@
                 "return False",
             ),
         ),
-        (FAILURES + "the_answer_to_an_earlier_request_is_passed_over",),
+        (FAILURES + "an_answer_to_an_earlier_request_is_discarded",),
     ),
     Weakness(
-        "any success is the upstream's own",
+        "a success without the upstream's signature is accepted",
         (Edit("attempts", "if not verdict.sound:", "if False:"),),
-        (FAILURES + "an_unsigned_success_is_not_the_upstreams_answer",),
+        (FAILURES + "a_success_without_the_upstreams_signature_is_not_relayed",),
     ),
     Weakness(
-        "a failure goes on with a stream",
-        (Edit("attempts", "if relay.exchange.started and not streams:", "if False:"),),
-        (STREAMS + "a_failure_never_stands_in_the_middle_of_a_stream",),
+        "an error body is relayed in the middle of a stream",
+        (
+            Edit(
+                "attempts", "if relay.exchange.started and not is_stream:", "if False:"
+            ),
+        ),
+        (STREAMS + "an_error_body_is_never_inserted_into_a_stream",),
     ),
     Weakness(
-        "half an event is passed on",
+        "incomplete events are relayed",
         (
             Edit(
                 "attempts", "data = relay.events.feed(data)", "relay.events.feed(data)"
             ),
         ),
-        (STREAMS + "a_stream_goes_on_elsewhere_at_the_next_whole_event",),
+        (STREAMS + "a_stream_is_resumed_elsewhere_after_the_last_complete_event",),
     ),
     Weakness(
-        "keys are honoured whatever is known of them",
+        "stale keys are accepted",
         (
             Edit(
-                "gateway", "if not route.open and not self._knows_keys():", "if False:"
+                "gateway",
+                "if not route.open and not self._keys_are_fresh():",
+                "if False:",
             ),
         ),
-        (
-            "tests.test_gateway.TestRefusals.test_keys_known_too_long_ago_are_not_honoured",
-        ),
+        ("tests.test_gateway.TestRefusals.test_stale_keys_are_refused",),
     ),
     Weakness(
         "a leaving upstream gets work",
@@ -445,8 +449,8 @@
             ),
         ),
         (
-            "tests.test_gateway.TestUpstreamsThatLeave"
-            ".test_one_that_started_again_gets_new_connections_and_no_old_credit",
+            "tests.test_gateway.TestUpstreamChanges"
+            ".test_a_restarted_upstream_gets_new_connections_and_new_state",
         ),
     ),
     Weakness(
