--- a/src/chervilwing/gateway_settings.py
+++ b/src/chervilwing/gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the gateway daemon: flags, variables and a file of the same names."""
+"""Settings of the gateway daemon: flags, environment variables and a settings file."""
 
 from typing import NamedTuple
 
@@ -24,20 +24,21 @@
 )
 
 MS_PER_SECOND = 1000
-UNIT = "ms"
-# Names the file whose lines are VARIABLE=value; a variable of the environment wins.
+MS_SUFFIX = "ms"
+# Environment variable with the path of the settings file. Its lines are
+# VARIABLE=value; an environment variable overrides them.
 FILE_VARIABLE = PREFIX + "SETTINGS"
 
 
 class GatewaySettings(NamedTuple):
     """All settings of one gateway; times are in seconds.
 
-    ``revoke_bound`` is how soon after its removal a key must be dead everywhere,
-    ``apply_bound`` how soon a configuration must be in force, and ``leave_bound`` how
-    soon a leaving upstream must get nothing more. ``link_rate`` is in Mbit/s, and
-    ``heartbeat`` the time between two signs of life of an upstream's registration.
-    ``retry_ratio`` and ``retry_burst`` bound the attempts beyond the first of all
-    instances together.
+    ``revoke_bound`` is the time within which a removed key must be refused everywhere,
+    ``apply_bound`` that within which a new configuration must be in force, and
+    ``leave_bound`` that within which a leaving upstream must stop receiving requests.
+    ``link_rate`` is in Mbit/s, and ``heartbeat`` is the interval between renewals of an
+    upstream's registration. ``retry_ratio`` and ``retry_burst`` limit the retries of
+    all instances together.
     """
 
     listen: Address
@@ -64,85 +65,125 @@
     leave_bound: float = 2.0
     link_rate: float = 100.0
     heartbeat: float = 2.0
-    # A file of routes and upstreams in place of a store.
+    # Path of a TOML file with routes and upstreams, used instead of a store.
     routes: str = ""
-    # Tells the processes of one instance apart.
+    # Distinguishes the successive processes of one instance.
     incarnation: int = 0
     limits: CallerLimits = CallerLimits()
     plain_pool: PoolTraits = PoolTraits("")
 
 
 def parse_duration(text):
-    """Return seconds from a number of seconds, or of milliseconds ending in ``ms``."""
-    if text.endswith(UNIT):
-        return parse_seconds(text.removesuffix(UNIT)) / MS_PER_SECOND
+    """Return seconds from ``2.5`` (seconds) or ``2500ms`` (milliseconds)."""
+    if text.endswith(MS_SUFFIX):
+        return parse_seconds(text.removesuffix(MS_SUFFIX)) / MS_PER_SECOND
     return parse_seconds(text)
 
 
 FIELDS = (
-    Field("listen", parse_optional_address, "", "HOST:PORT", "for callers"),
-    Field("ready_listen", parse_optional_address, "", "HOST:PORT", "for the balancer"),
+    Field("listen", parse_optional_address, "", "HOST:PORT", "address for callers"),
+    Field(
+        "ready_listen",
+        parse_optional_address,
+        "",
+        "HOST:PORT",
+        "address for the balancer's checks",
+    ),
     Field(
         "beacon_listen",
         parse_optional_address,
         "",
         "HOST:PORT",
-        "for other instances' datagrams",
+        "address for other instances' datagrams",
     ),
-    Field("metrics_listen", parse_optional_address, "", "HOST:PORT", "for figures"),
-    Field("name", parse_name, "", "name", "this instance"),
+    Field(
+        "metrics_listen", parse_optional_address, "", "HOST:PORT", "address for metrics"
+    ),
+    Field("name", parse_name, "", "name", "name of this instance"),
     Field("data_centre", parse_name, "local", "name", "where this instance runs"),
     Field("store", parse_optional_address, "", "HOST:PORT", "the platform's store"),
     Field("cloud", parse_optional_address, "", "HOST:PORT", "the platform's API"),
-    Field("routes", str, "", "path", "TOML file in place of a platform's store"),
-    Field("lease", parse_duration, "3", "s", "after which a dead instance is gone"),
-    Field("store_timeout", parse_duration, "1", "s", "for a call to the store"),
-    Field("drain_timeout", parse_duration, "8", "s", "for a planned stop"),
-    Field("drain_lag", parse_duration, "2.5", "s", "that the balancer may lag"),
-    Field("revoke_bound", parse_duration, "5", "s", "until a removed key is dead"),
+    Field("routes", str, "", "path", "TOML file used instead of a store"),
+    Field("lease", parse_duration, "3", "s", "until a dead instance's lease expires"),
+    Field("store_timeout", parse_duration, "1", "s", "timeout of a call to the store"),
+    Field("drain_timeout", parse_duration, "8", "s", "time for a planned stop"),
+    Field(
+        "drain_lag", parse_duration, "2.5", "s", "until the balancer notices not ready"
+    ),
+    Field("revoke_bound", parse_duration, "5", "s", "until a removed key is refused"),
     Field("apply_bound", parse_duration, "2", "s", "until a change is in force"),
-    Field("leave_bound", parse_duration, "2", "s", "until a leaving one is left"),
-    Field("heartbeat", parse_duration, "2", "s", "of upstreams' registrations"),
-    Field("link_rate", parse_seconds, "100", "Mbit/s", "of the machine's link"),
-    Field("retry_ratio", parse_seconds, "0.2", "part", "retries to first attempts"),
-    Field("retry_burst", parse_seconds, "50", "count", "retries at once, of all"),
-    Field("usage_window", parse_duration, "5", "s", "length of a window of usage"),
-    Field("buys", parse_flag, "false", "true|false", "order instances by load"),
-    Field("log_format", one_of(LOG_FORMATS), "json", "json|text", "form of log lines"),
-    Field("log_level", one_of(LOG_LEVELS), "info", "|".join(LOG_LEVELS), "least level"),
     Field(
-        "stats_pairs", parse_count, "64", "count", "customer and route pairs kept apart"
+        "leave_bound",
+        parse_duration,
+        "2",
+        "s",
+        "until a leaving upstream gets no requests",
+    ),
+    Field("heartbeat", parse_duration, "2", "s", "interval of registration renewals"),
+    Field(
+        "link_rate",
+        parse_seconds,
+        "100",
+        "Mbit/s",
+        "rate of the machine's network link",
+    ),
+    Field("retry_ratio", parse_seconds, "0.2", "ratio", "retries per first attempt"),
+    Field(
+        "retry_burst", parse_seconds, "50", "count", "burst of retries of all instances"
+    ),
+    Field("usage_window", parse_duration, "5", "s", "length of a usage window"),
+    Field(
+        "buys", parse_flag, "false", "true|false", "order instances according to load"
+    ),
+    Field(
+        "log_format", one_of(LOG_FORMATS), "json", "json|text", "format of log lines"
+    ),
+    Field(
+        "log_level",
+        one_of(LOG_LEVELS),
+        "info",
+        "|".join(LOG_LEVELS),
+        "lowest level that is logged",
+    ),
+    Field(
+        "stats_pairs",
+        parse_count,
+        "64",
+        "count",
+        "customer and route pairs with own metrics",
     ),
 )
 GATEWAY = Program(
-    "chervilwing-gateway", "Gateway before upstreams that register themselves.", FIELDS
+    "chervilwing-gateway", "Gateway for upstreams that register themselves.", FIELDS
 )
-NEEDED = ("listen", "ready_listen", "beacon_listen")
+REQUIRED = ("listen", "ready_listen", "beacon_listen")
 
 
-def read_lines(text):
-    """Return variable to value for lines ``VARIABLE=value``; others are comments.
+def parse_settings_file(text):
+    """Return a dict of the lines ``VARIABLE=value``; other lines are ignored.
 
-    A value that its platform doesn't have is left empty, but for its unit; such a line
-    counts as not there, and the default holds.
+    A platform leaves a value that it doesn't have empty except for its unit. Such a
+    line is ignored too, and the default applies.
     """
     lines = (line.strip() for line in text.splitlines())
     pairs = (line.partition("=") for line in lines if not line.startswith("#"))
-    given = {name.strip(): value.strip() for name, equals, value in pairs if equals}
-    return {name: value for name, value in given.items() if value not in ("", UNIT)}
+    variables = {name.strip(): value.strip() for name, equals, value in pairs if equals}
+    return {
+        name: value for name, value in variables.items() if value not in ("", MS_SUFFIX)
+    }
 
 
 def read_gateway_settings(argv, environ, text="") -> Result:
-    """Return checked GatewaySettings or a BadSetting that names the fault.
+    """Return a Result of checked GatewaySettings, or of a BadSetting with the fault.
 
-    ``text`` is what stands in the settings file; names it has that are not ours are
-    passed over, so that a newer platform can tell more.
+    ``text`` is the content of the settings file; unknown names in it are ignored, so
+    that a newer platform may add some.
     """
     try:
         flags = vars(build_parser(GATEWAY).parse_args(list(argv)))
-        given = {**read_lines(text), **environ}
-        values = {field.name: read_field(field, flags, given) for field in FIELDS}
-        for name in NEEDED:
+        variables = {**parse_settings_file(text), **environ}
+        values = {field.name: read_field(field, flags, variables) for field in FIELDS}
+        for name in REQUIRED:
             if values[name] is None:
                 raise BadSetting(f"--{name.replace('_', '-')}: needed")
         if values["store"] is None and not values["routes"]:
--- a/tests/test_gateway_settings.py
+++ b/tests/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the gateway: flags, variables and the file."""
+"""Tests of the gateway's settings: flags, environment variables and the file."""
 
 import unittest
 
@@ -21,23 +21,23 @@
 
 class TestGatewaySettings(unittest.TestCase):
     def read(self, *argv, environ=None, text=FILE):
-        """Return the settings, or the text of the failure."""
+        """Return the settings, or the text of the BadSetting."""
         result = read_gateway_settings(argv, environ or {}, text)
         if is_successful(result):
             return result.unwrap()
         return str(result.failure())
 
-    def test_the_file_gives_settings_and_a_newer_name_is_passed_over(self):
+    def test_the_file_is_read_and_unknown_names_are_ignored(self):
         cfg = self.read()
         self.assertEqual(cfg.listen, Address("127.0.0.1", 8080))
         self.assertEqual(cfg.revoke_bound, 4.0)
 
-    def test_a_flag_wins_over_a_variable_and_a_variable_over_the_file(self):
+    def test_flags_override_variables_and_variables_override_the_file(self):
         environ = {"CHERVILWING_NAME": "two", "CHERVILWING_LEASE": "9"}
         cfg = self.read("--lease", "5", environ=environ)
         self.assertEqual((cfg.name, cfg.lease), ("two", 5.0))
 
-    def test_faults_are_named(self):
+    def test_errors_name_the_setting_and_the_fault(self):
         cases = {
             ("--lease", "soon"): "--lease: 'soon' is not a number of seconds",
             ("--store", "store:1"): "--store: 'store' is not an IP number",
@@ -47,14 +47,14 @@
             with self.subTest(argv=argv):
                 self.assertEqual(self.read(*argv), detail)
 
-    def test_what_the_platform_does_not_have_keeps_its_default(self):
-        # A deployment without keys names no bound on them, and its template leaves the
-        # value empty: taken as it stands, no instance would start.
+    def test_empty_values_in_the_file_keep_their_default(self):
+        # A platform without API keys has no bound on their revocation, and its template
+        # leaves the value empty. If that were an error, no instance would start.
         text = FILE + "CHERVILWING_LEASE=ms\nCHERVILWING_CLOUD=\n"
         cfg = self.read(text=text)
         self.assertEqual((cfg.lease, cfg.cloud), (3.0, None))
 
-    def test_what_is_needed_is_asked_for(self):
+    def test_a_missing_required_setting_is_reported(self):
         text = FILE.replace("CHERVILWING_STORE", "CHERVILWING_STALL")
         self.assertEqual(
             self.read(text=text), "--store: needed, or --routes without a platform"
