--- a/src/chervilwing/local_gateway.py
+++ b/src/chervilwing/local_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway without a platform, on a file of routes."""
+"""Entry point of the gateway without a platform, configured by a file of routes."""
 
 import os
 import sys
@@ -13,7 +13,7 @@
 
 
 class LocalAdapter(NamedTuple):
-    """What a gateway takes in place of a platform: a file and its own dialect."""
+    """Replacement for a platform: a store filled from a file, and the plain dialect."""
 
     make_store: Callable = lambda cfg, client: LocalStore(cfg)
     make_cloud: Callable | None = None
@@ -22,7 +22,7 @@
 
 
 def read_settings():
-    """Return the settings of flags and variables."""
+    """Return the settings from flags and environment variables as a Result."""
     return read_gateway_settings(sys.argv[1:], os.environ)
 
 
--- a/src/chervilwing/local_stores.py
+++ b/src/chervilwing/local_stores.py
@@ -1,4 +1,4 @@
-"""A store in the process, filled from a file: one gateway without a platform."""
+"""An in-process store that is filled from a file, for a gateway without a platform."""
 
 import os
 
@@ -25,18 +25,20 @@
 from .logs import log_event
 from .routing_files import parse_file
 
-DOCUMENTS = "configuration/"
-UPSTREAMS = "upstreams/"
-# The one lease there is: nobody else could hold it.
-LEASE = 1
-# Changes kept for watches: a file of some hundred upstreams may change at once.
-HISTORY_KEPT = 4096
+DOCUMENT_PREFIX = "configuration/"
+UPSTREAM_PREFIX = "upstreams/"
+# Id of the only lease; a single gateway has no competitors for it.
+LEASE_ID = 1
+# Changes that are kept for watches. One edit of the file may change some hundred
+# upstreams at once.
+MAX_HISTORY = 4096
 
 
 class LocalStore(BaseComponent):
-    """Own the items; the file is read again whenever it has changed.
+    """Own the store's items and reload the file whenever it changes.
 
-    Values are the types themselves and not bytes, but for what the gateway writes.
+    Values read from the file are decoded objects, those that the gateway writes are
+    bytes.
     """
 
     channel = "local-store"
@@ -46,23 +48,23 @@
         self.cfg = cfg
         self._items = {}
         self._history = []
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._revision = 1
-        self._waiting = []
-        self._stamp = None
+        self._watches = []
+        self._file_mtime = None
 
     def submit(self, req, reply):
-        """Answer one call, a watch when there is something or its wait is over."""
+        """Answer one call; a watch waits up to ``req.wait`` seconds for a change."""
         if isinstance(req, WatchItems):
-            self._waiting.append((req, reply, read_boottime() + req.wait))
+            self._watches.append((req, reply, read_boottime() + req.wait))
             return
-        reply(ANSWERS[type(req)](self, req))
+        reply(CALL_HANDLERS[type(req)](self, req))
 
     def _list(self, req):
-        found = [
+        items = [
             item for key, item in self._items.items() if key.startswith(req.prefix)
         ]
-        return Page(tuple(found), self._revision)
+        return Page(tuple(items), self._revision)
 
     def _commit(self, req):
         for key, revision in req.expect:
@@ -73,7 +75,7 @@
         return Committed(self._revision)
 
     def _lease(self, req):
-        return Leased(LEASE, getattr(req, "ttl", self.cfg.lease))
+        return Leased(LEASE_ID, getattr(req, "ttl", self.cfg.lease))
 
     def _write(self, puts, deletes):
         self._revision += 1
@@ -87,17 +89,17 @@
     @handler("tick", channel="*")
     def _on_tick(self):
         self._read_file()
-        waiting, self._waiting = self._waiting, []
-        for req, reply, until in waiting:
-            found = self._find_changes(req)
-            if req.after < self._forgotten:
+        watches, self._watches = self._watches, []
+        for req, reply, deadline in watches:
+            changes = self._find_changes(req)
+            if req.after < self._compacted_revision:
                 reply(HistoryGone())
-            elif found or read_boottime() >= until:
-                reply(Changes(found, self._revision))
+            elif changes or read_boottime() >= deadline:
+                reply(Changes(changes, self._revision))
             else:
-                self._waiting.append((req, reply, until))
-        while len(self._history) > HISTORY_KEPT:
-            self._forgotten = self._history.pop(0).revision
+                self._watches.append((req, reply, deadline))
+        while len(self._history) > MAX_HISTORY:
+            self._compacted_revision = self._history.pop(0).revision
 
     def _find_changes(self, req):
         return tuple(
@@ -107,23 +109,25 @@
         )
 
     def _read_file(self):
-        """Take the file's contents; a fault leaves the older ones in force."""
+        """Load the file if it changed; a faulty one leaves the items unchanged."""
         try:
-            stamp = os.stat(self.cfg.routes).st_mtime_ns
-            if stamp == self._stamp:
+            mtime = os.stat(self.cfg.routes).st_mtime_ns
+            if mtime == self._file_mtime:
                 return
-            self._stamp = stamp
+            self._file_mtime = mtime
             with open(self.cfg.routes, encoding="utf-8") as file:
                 document, upstreams = parse_file(file.read())
         except (OSError, UnicodeDecodeError, BadConfiguration) as exc:
             log_event("item ignored", key=self.cfg.routes, detail=str(exc))
             return
-        puts = {f"{UPSTREAMS}{item.name}": item for item in upstreams}
-        gone = {key for key in self._items if key.startswith(UPSTREAMS)} - set(puts)
-        self._write({DOCUMENTS: document, **puts}, gone)
+        puts = {f"{UPSTREAM_PREFIX}{item.name}": item for item in upstreams}
+        removed = {key for key in self._items if key.startswith(UPSTREAM_PREFIX)} - set(
+            puts
+        )
+        self._write({DOCUMENT_PREFIX: document, **puts}, removed)
 
 
-ANSWERS = {
+CALL_HANDLERS = {
     ListItems: LocalStore._list,
     Commit: LocalStore._commit,
     TakeLease: LocalStore._lease,
@@ -131,5 +135,5 @@
     EndLease: LocalStore._lease,
 }
 SOURCES = Sources(
-    DOCUMENTS, UPSTREAMS, lambda key, value: value, lambda key, value: value
+    DOCUMENT_PREFIX, UPSTREAM_PREFIX, lambda key, value: value, lambda key, value: value
 )
--- a/src/chervilwing/routing_files.py
+++ b/src/chervilwing/routing_files.py
@@ -23,14 +23,14 @@
 
 
 def read_target(value):
-    """Return a Target of a route's ``pools``: a name, or a table with a weight."""
+    """Return the Target of an entry of ``pools``: a name, or a table with a weight."""
     if isinstance(value, str):
         return Target(value)
     return Target(**value)
 
 
 def read_route(value):
-    """Return a Route of ``[[routes]]``."""
+    """Return the Route of an entry of ``[[routes]]``."""
     targets = tuple(map(read_target, value.pop("pools")))
     route = Route(targets=targets, **value)
     if route.kind not in KINDS:
@@ -41,13 +41,13 @@
 
 
 def read_pool(value):
-    """Return PoolTraits of ``[[pools]]``; ``engine`` is a table of its own."""
+    """Return the PoolTraits of an entry of ``[[pools]]``; ``engine`` is a subtable."""
     engine = value.pop("engine", None)
     return PoolTraits(engine=EngineTraits(**engine) if engine else None, **value)
 
 
 def read_organisation(value):
-    """Return an Organisation of ``[[organisations]]``."""
+    """Return the Organisation of an entry of ``[[organisations]]``."""
     return Organisation(**value | {"keys": tuple(value.get("keys", ()))})
 
 
@@ -61,7 +61,7 @@
 def parse_file(text):
     """Return the RoutingDocument and Registrations, or raise BadConfiguration.
 
-    The names of the keys are those of the fields of the types they become.
+    The keys of a table are named like the fields of the type that it is read into.
     """
     try:
         value = tomllib.loads(text)
@@ -82,9 +82,9 @@
 
 
 def check_pools(document, upstreams):
-    """Raise ValueError when a route or an upstream names a pool that isn't there."""
-    known = {pool.name for pool in document.pools}
-    named = {target.pool for route in document.routes for target in route.targets}
-    named |= {item.pool for item in upstreams}
-    if named - known:
-        raise ValueError(f"no such pool: {', '.join(sorted(named - known))}")
+    """Raise ValueError if a route or an upstream refers to an undefined pool."""
+    defined = {pool.name for pool in document.pools}
+    referenced = {target.pool for route in document.routes for target in route.targets}
+    referenced |= {item.pool for item in upstreams}
+    if referenced - defined:
+        raise ValueError(f"no such pool: {', '.join(sorted(referenced - defined))}")
--- a/tests/test_local_gateway.py
+++ b/tests/test_local_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway without a platform: its file, its own header fields, changes, faults."""
+"""Tests of the gateway without a platform: its file, header fields and reloads."""
 
 import sys
 import unittest
@@ -18,24 +18,24 @@
 
 
 def answer(conn, method, path, body):
-    """Answer well."""
+    """Answer with 200."""
     conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
 
 def refuse(conn, method, path, body):
-    """Refuse without running."""
+    """Refuse the request with the mark that it has not run."""
     conn.sendall(REFUSED)
 
 
 class TestFile(unittest.TestCase):
-    def test_the_example_is_read(self):
+    def test_the_example_file_is_valid(self):
         document, upstreams = parse_file(EXAMPLE)
         self.assertEqual([route.name for route in document.routes][2], "quotes")
         self.assertEqual(document.routes[2].targets[0].weight, 90)
         self.assertEqual(document.pools[1].engine.slots, 64)
         self.assertEqual(upstreams[0].address.port, 9001)
 
-    def test_faults_are_named(self):
+    def test_errors_name_the_fault(self):
         cases = {
             'pools = ["portal"]\nattempts': (
                 'pools = ["portals"]\nattempts',
@@ -68,20 +68,20 @@
         poll(self.is_ready)
 
     def write(self, version, upstream, key="k1"):
-        """Write the file with one upstream and one key."""
+        """Write the routes file with one upstream and one API key."""
         text = EXAMPLE.replace("version = 1", f"version = {version}")
         text = text.replace("127.0.0.1:9001", f"{HOST}:{upstream.port}")
         text = text.replace("portal-1", f"portal-{upstream.port}")
         self.path.write_text(text.replace("an-example-key-that-nobody-has", key))
 
     def is_ready(self):
-        """Tell whether the gateway says that it is ready."""
+        """Return whether the gateway reports that it is ready."""
         with suppress(OSError):
             ready_port = self.gateway.info["ready_port"]
             return call_json(ready_port, "GET", "/-/ready")[0] == 200
 
     def call(self, path="/policies/x", key="k1"):
-        """Make one call."""
+        """Send one request and return the answer."""
         with Caller(self.gateway.port) as caller:
             caller.send(
                 f"GET {path} HTTP/1.1\r\nHost: portal.example\r\n"
@@ -89,14 +89,14 @@
             )
             return caller.read_answer()
 
-    def test_its_own_fields_tell_customer_and_time(self):
+    def test_upstreams_receive_customer_and_remaining_time(self):
         self.assertEqual(self.call().status, 200)
         fields = self.upstreams[0].heads[0][1]
         self.assertEqual(fields["chervilwing-customer"], "insurer")
         self.assertLessEqual(float(fields["chervilwing-timeout"]), 1.2)
         self.assertNotIn("authorization", fields)
 
-    def test_a_changed_file_is_in_force_and_a_faulty_one_is_not(self):
+    def test_a_changed_file_is_applied_and_a_faulty_one_is_ignored(self):
         self.upstreams.append(RawUpstream(answer))
         self.write(2, self.upstreams[1], key="k2")
         poll(lambda: self.call(key="k2").status == 200)
@@ -105,7 +105,7 @@
         self.path.write_text("version = ")
         self.assertEqual(self.call(key="k2").status, 200)
 
-    def test_an_upstream_that_refuses_is_told_as_not_run(self):
+    def test_a_refusal_of_the_upstream_is_reported_as_not_run(self):
         self.upstreams.append(RawUpstream(refuse))
         self.write(2, self.upstreams[1])
         poll(lambda: self.call("/notes/x").status == 503)
