--- a/src/chervilwing/platform/__init__.py
+++ b/src/chervilwing/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: it translates names and forms, and no more."""
+"""Adapter to the users' platform; it only translates names and formats."""
--- a/src/chervilwing/platform/__main__.py
+++ b/src/chervilwing/platform/__main__.py
@@ -1,4 +1,4 @@
-"""The entry point on the platform: the gateway with this folder's adapter."""
+"""Entry point on the platform: runs the gateway with this package's adapter."""
 
 import os
 import sys
@@ -16,7 +16,7 @@
 
 
 class Adapter(NamedTuple):
-    """What the gateway has to know of the platform."""
+    """The platform's store, API, documents and header fields, for the gateway."""
 
     make_store: type = PlatformStore
     make_cloud: type = PlatformCloud
@@ -25,7 +25,7 @@
 
 
 def read_settings():
-    """Return the settings as the platform's file has them now."""
+    """Return the current settings as a Result; the platform writes the file."""
     try:
         text = read_file(os.environ.get(FILE_VARIABLE, ""))
     except (OSError, UnicodeDecodeError) as exc:
--- a/src/chervilwing/platform/cloud.py
+++ b/src/chervilwing/platform/cloud.py
@@ -1,4 +1,4 @@
-"""The platform's API: usage reports and orders of instances as HTTP."""
+"""Client of the platform's API: usage reports and instance orders over HTTP."""
 
 import msgspec
 
@@ -12,12 +12,15 @@
 
 
 def encode_usage(req):
-    """Return path and body of a usage report."""
+    """Return the path and body of a usage report."""
     return "/usage", {"windowId": req.window, "counts": req.counts}
 
 
 def encode_order(req):
-    """Return path and body of an order; ``desired`` counts one kind alone."""
+    """Return the path and body of an order.
+
+    ``desired`` counts either reclaimable or standard instances, never both together.
+    """
     body = {"service": req.pool, "zone": req.data_centre, "desired": req.count}
     return "/scale", body | ({"spot": True} if req.reclaimable else {})
 
@@ -26,12 +29,13 @@
 
 
 def decode(req, status, body):
-    """Return what an answer says of a call."""
+    """Return Accepted, Denied, Outdated or NoAnswer for an HTTP answer."""
     if status == 200:
         return Accepted()
     if status != CONFLICT:
         return NoAnswer(status)
-    # An order is refused alike for a higher number seen and for want of instances.
+    # The API answers an order with 409 both for an outdated fencing token and if no
+    # instances are available; only the text differs.
     text = body.decode("latin-1").lower()
     if isinstance(req, OrderInstances) and "fence" not in text:
         return Denied(text)
@@ -39,14 +43,14 @@
 
 
 class PlatformCloud:
-    """Send the duties' calls to the platform's API."""
+    """Send usage reports and instance orders to the platform's API."""
 
     def __init__(self, cfg, client):
         self.cfg = cfg
         self._client = client
 
     def submit(self, req, reply):
-        """Send one call under its holder's name and number."""
+        """Send one call with its lease holder's name and fencing token."""
         path, body = ENCODERS[type(req)](req)
         headers = {
             "content-type": "application/json",
@@ -64,5 +68,5 @@
             probed=False,
             send_before=req.send_before,
         )
-        answered = collect(lambda status, data: reply(decode(req, status, data)))
-        self._client.submit(call, answered)
+        handlers = collect(lambda status, data: reply(decode(req, status, data)))
+        self._client.submit(call, handlers)
--- a/src/chervilwing/platform/documents.py
+++ b/src/chervilwing/platform/documents.py
@@ -1,4 +1,4 @@
-"""The platform's documents, read into the gateway's own."""
+"""Decoding of the platform's stored documents into the gateway's own types."""
 
 from typing import Annotated, Literal
 
@@ -24,19 +24,20 @@
 )
 
 DOCUMENT_KEY = "op/config"
-REGISTRATIONS = "servers/"
-ROLLOUT_ORDERS = "op/rollout/"
-ROLLOUT_STATUS = "status/rollout/"
+REGISTRATION_PREFIX = "servers/"
+ROLLOUT_ORDER_PREFIX = "op/rollout/"
+ROLLOUT_STATUS_PREFIX = "status/rollout/"
 KINDS = {"safe": IDEMPOTENT, "unsafe": NON_IDEMPOTENT, "streaming": STREAM}
-MS = 1000.0
-MEGA = 1e6
-# Where the document names none: the longest deadline of the platform's callers.
+MS_PER_S = 1000.0
+BITS_PER_MEGABIT = 1e6
+# Seconds, for routes without a time limit: the longest deadline of the platform's
+# callers.
 DEFAULT_TIME_LIMIT = 30.0
 
 
 def read_route(value):
-    """Return a Route from an entry of ``routes``."""
-    # ``split`` stands in place of ``service`` where a route has several pools.
+    """Return the Route of an entry of ``routes``."""
+    # A route with several pools has ``split`` instead of ``service``.
     targets = value.get("split") or [{"service": value["service"], "weight": 1}]
     return Route(
         name=value["name"],
@@ -45,18 +46,18 @@
         kind=KINDS[value["kind"]],
         targets=tuple(Target(item["service"], item["weight"]) for item in targets),
         attempts=value.get("attempts", 1),
-        time_limit=value.get("timeoutMs", DEFAULT_TIME_LIMIT * MS) / MS,
-        latency_target=value.get("sloMs", MS) / MS,
+        time_limit=value.get("timeoutMs", DEFAULT_TIME_LIMIT * MS_PER_S) / MS_PER_S,
+        latency_target=value.get("sloMs", MS_PER_S) / MS_PER_S,
         priority=value.get("priority", 0),
-        # ``noAuth``: no key is asked for.
+        # ``noAuth`` means that callers need no API key.
         open=value.get("noAuth", False),
         resumable=value.get("canResume", False),
-        pause_limit=value.get("gapTargetMs", MS) / MS,
+        pause_limit=value.get("gapTargetMs", MS_PER_S) / MS_PER_S,
     )
 
 
 def read_pool(value):
-    """Return PoolTraits from an entry of ``services``."""
+    """Return the PoolTraits of an entry of ``services``."""
     engine, scale = value.get("engine"), value.get("scale")
     return PoolTraits(
         value["name"],
@@ -67,17 +68,17 @@
 
 
 def read_engine(value):
-    """Return EngineTraits from ``engine``."""
+    """Return the EngineTraits of ``engine``."""
     return EngineTraits(
         value["slots"],
         value["kvCapacity"],
         value.get("kvTokenBytes", 0.0),
-        value.get("linkMbps", 0.0) * MEGA,
+        value.get("linkMbps", 0.0) * BITS_PER_MEGABIT,
     )
 
 
 def read_fleet(value):
-    """Return FleetTraits from ``scale``; its bounds hold in each data centre."""
+    """Return the FleetTraits of ``scale``; ``min`` and ``max`` are per data centre."""
     return FleetTraits(
         value["min"],
         value["max"],
@@ -88,31 +89,31 @@
 
 
 def read_organisation(value):
-    """Return an Organisation from an entry of ``tenants``."""
-    by_tokens = value.get("unit") == "tokens"
+    """Return the Organisation of an entry of ``tenants``."""
+    counts_tokens = value.get("unit") == "tokens"
     return Organisation(
         value["name"],
         tuple(value.get("apiKeys", ())),
         value.get("priority"),
-        # ``ratePerS`` and ``burst`` count what ``unit`` names, not always requests.
+        # ``ratePerS`` and ``burst`` count requests, or tokens if ``unit`` says so.
         value.get("ratePerS") or 0.0,
         value.get("burst") or 0.0,
-        value.get("plainTokens", 1.0) if by_tokens else 0.0,
+        value.get("plainTokens", 1.0) if counts_tokens else 0.0,
     )
 
 
 def read_limits(value):
-    """Return CallerLimits from ``limits``."""
+    """Return the CallerLimits of ``limits``."""
     return CallerLimits(
         value["headerBytes"],
         value["bodyBytes"],
-        value["headerTimeoutMs"] / MS,
-        value["idleTimeoutMs"] / MS,
+        value["headerTimeoutMs"] / MS_PER_S,
+        value["idleTimeoutMs"] / MS_PER_S,
     )
 
 
 def read_document(key, data):
-    """Return the RoutingDocument, or raise BadConfiguration."""
+    """Return the RoutingDocument, None for another key, or raise BadConfiguration."""
     if key != DOCUMENT_KEY:
         return None
     try:
@@ -128,12 +129,12 @@
         raise BadConfiguration(f"{key}: {type(exc).__name__} {exc}") from exc
 
 
-class Entry(msgspec.Struct):
-    """What an upstream says of itself; an entry of other types is not an upstream's.
+class RegistrationEntry(msgspec.Struct):
+    """Registration entry that an upstream writes; other types make it invalid.
 
-    ``coldLeftMs`` is how much longer it stays slow after its start, ``seq`` counts the
-    orders that it took, ``leaves_ms`` is the time until a reclaimed one ends, and
-    ``born`` the time of this start in Unix milliseconds.
+    ``coldLeftMs`` is how much longer the upstream is slow after its start, ``seq``
+    counts the orders that it has accepted, ``leaves_ms`` is the time until a reclaimed
+    upstream ends, and ``born`` is its start time in Unix milliseconds.
     """
 
     service: str
@@ -149,68 +150,69 @@
     born: int = 0
 
 
-ENTRY_DECODER = msgspec.json.Decoder(Entry)
+REGISTRATION_DECODER = msgspec.json.Decoder(RegistrationEntry)
 
 
 def read_registration(key, data):
     """Return the Registration, or raise BadConfiguration.
 
-    Guard: anybody may write an entry. One with fields that are missing or of another
-    type, an unknown state or unreadable bytes names no upstream; taken for one, it
-    would get work that nobody answers, or end the reading of all that follow.
+    Any client of the store may write an entry. Missing fields, fields of another type,
+    an unknown state or undecodable bytes make it invalid. If it were accepted, requests
+    would be sent to an address where nobody answers; if it raised another error, all
+    later entries would not be read.
     """
     try:
-        entry = ENTRY_DECODER.decode(data)
+        entry = REGISTRATION_DECODER.decode(data)
         return Registration(
-            name=key.removeprefix(REGISTRATIONS),
+            name=key.removeprefix(REGISTRATION_PREFIX),
             pool=entry.service,
             address=parse_address(entry.address),
             data_centre=entry.zone,
             slots=entry.slots or 1,
             leaving=entry.state == "draining",
             reclaimable=entry.spot,
-            leaves_in=None if entry.leaves_ms is None else entry.leaves_ms / MS,
-            started_at=entry.born / MS,
+            leaves_in=None if entry.leaves_ms is None else entry.leaves_ms / MS_PER_S,
+            started_at=entry.born / MS_PER_S,
             version=entry.version,
         )
     except (msgspec.DecodeError, ValueError) as exc:
         raise BadConfiguration(f"{key}: {type(exc).__name__} {exc}") from exc
 
 
-class Order(msgspec.Struct):
-    """What an operator orders for a service; it names the service in its key as well.
+class RolloutEntry(msgspec.Struct):
+    """Roll-out order of an operator; the service's name is the last part of its key.
 
-    ``target`` is the version to which all its traffic is to move.
+    ``target`` is the version to which all traffic of the service is to move.
     """
 
     target: str
     durationS: Annotated[float, msgspec.Meta(gt=0)]
 
 
-ORDER_DECODER = msgspec.json.Decoder(Order)
+ROLLOUT_DECODER = msgspec.json.Decoder(RolloutEntry)
 
 
 def read_order(key, data):
-    """Return the RolloutOrder of a key, None for another one's, or raise."""
-    if not key.startswith(ROLLOUT_ORDERS):
+    """Return the RolloutOrder, None for another key, or raise BadConfiguration."""
+    if not key.startswith(ROLLOUT_ORDER_PREFIX):
         return None
     try:
-        order = ORDER_DECODER.decode(data)
+        order = ROLLOUT_DECODER.decode(data)
     except msgspec.DecodeError as exc:
         raise BadConfiguration(f"{key}: {exc}") from exc
-    pool = key.removeprefix(ROLLOUT_ORDERS)
+    pool = key.removeprefix(ROLLOUT_ORDER_PREFIX)
     return RolloutOrder(pool, order.target, order.durationS)
 
 
 def write_status(pool, target, state):
-    """Return the put that tells the operator the state of a roll-out."""
+    """Return the store write that reports a roll-out's state to the operator."""
     value = msgspec.json.encode({"state": state, "target": target})
-    return (ROLLOUT_STATUS + pool, value, 0)
+    return (ROLLOUT_STATUS_PREFIX + pool, value, 0)
 
 
 SOURCES = Sources(
     "op/",
-    REGISTRATIONS,
+    REGISTRATION_PREFIX,
     read_document,
     read_registration,
     read_order,
--- a/src/chervilwing/platform/store.py
+++ b/src/chervilwing/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: the product's calls on items as HTTP, and the replies."""
+"""Client of the platform's store: encodes calls as HTTP and decodes the replies."""
 
 import base64
 from urllib.parse import urlencode
@@ -27,11 +27,11 @@
 
 JSON_HEADERS = {"content-type": "application/json"}
 CONNECT_TIMEOUT = 0.5
-MS = 1000
+MS_PER_S = 1000
 
 
 def encode_list(req):
-    """Return method, path and body that list a prefix."""
+    """Return the method, path and body that list the items under a prefix."""
     query = {"prefix": req.prefix}
     if req.after:
         query["after"] = req.after
@@ -39,17 +39,17 @@
 
 
 def encode_watch(req):
-    """Return method, path and body that watch a prefix."""
+    """Return the method, path and body that watch the items under a prefix."""
     query = {
         "prefix": req.prefix,
         "after": req.after,
-        "waitMs": int(req.wait * MS),
+        "waitMs": int(req.wait * MS_PER_S),
     }
     return "GET", f"/-/kv-watch?{urlencode(query)}", None
 
 
 def encode_commit(req):
-    """Return method, path and body of a conditional write."""
+    """Return the method, path and body of a conditional write."""
     body = {
         "ifRev": [{"key": key, "revision": revision} for key, revision in req.expect],
         "puts": [encode_put(*put) for put in req.puts],
@@ -59,7 +59,7 @@
 
 
 def encode_put(key, value, lease):
-    """Return one write; a lease of 0 is left out."""
+    """Return one write as a dict; a lease of 0 means none and is omitted."""
     put = {"key": key, "value": base64.b64encode(value).decode()}
     return put | ({"lease": lease} if lease else {})
 
@@ -68,20 +68,24 @@
     ListItems: encode_list,
     WatchItems: encode_watch,
     Commit: encode_commit,
-    TakeLease: lambda req: ("POST", "/-/kv-lease", {"ttlMs": int(req.ttl * MS)}),
+    TakeLease: lambda req: (
+        "POST",
+        "/-/kv-lease",
+        {"ttlMs": int(req.ttl * MS_PER_S)},
+    ),
     KeepLease: lambda req: ("POST", f"/-/kv-keep/{req.lease}", {}),
     EndLease: lambda req: ("DELETE", f"/-/kv-lease-end/{req.lease}", None),
 }
 
 
 def read_item(value):
-    """Return an Item from an entry of ``items`` or ``events``."""
+    """Return the Item of an entry of ``items`` or ``events``."""
     data = None if value.get("deleted") else base64.b64decode(value.get("value") or "")
     return Item(value["key"], data, value["revision"])
 
 
 def decode_page(req, value):
-    """Return a Page; ``storeRevision`` is the whole store's."""
+    """Return the Page of a list; ``storeRevision`` is the revision of the store."""
     items = tuple(map(read_item, value["items"]))
     return Page(items, value["storeRevision"], value.get("truncated", False))
 
@@ -92,9 +96,9 @@
 
 
 def decode_leased(req, value):
-    """Return a Leased; a renewal's answer doesn't name the lease."""
+    """Return the Leased of an answer; a renewal's does not contain the lease id."""
     lease = value.get("lease", getattr(req, "lease", None))
-    return Leased(lease, value["ttlMs"] / MS)
+    return Leased(lease, value["ttlMs"] / MS_PER_S)
 
 
 DECODERS = {
@@ -111,7 +115,7 @@
 
 
 def decode(req, status, body):
-    """Return the reply that an answer stands for."""
+    """Return the reply that an HTTP answer stands for, Unavailable on any error."""
     read = DECODERS.get((type(req), status))
     if read is None:
         return Unavailable(f"status {status}")
@@ -122,14 +126,14 @@
 
 
 class PlatformStore:
-    """Send the product's calls to the store and hand back each reply, once."""
+    """Send calls to the platform's store and return each reply exactly once."""
 
     def __init__(self, cfg, client):
         self.cfg = cfg
         self._client = client
 
     def submit(self, req, reply):
-        """Send one call; a lost answer shows as Unavailable."""
+        """Send one call; a lost answer is reported as Unavailable."""
         method, path, body = ENCODERS[type(req)](req)
         wait = req.wait if isinstance(req, WatchItems) else 0.0
         call = Call(
@@ -142,5 +146,5 @@
             silence_timeout=self.cfg.store_timeout + wait,
             probed=False,
         )
-        answered = collect(lambda status, data: reply(decode(req, status, data)))
-        self._client.submit(call, answered)
+        handlers = collect(lambda status, data: reply(decode(req, status, data)))
+        self._client.submit(call, handlers)
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -1,7 +1,7 @@
-"""A stand-in of the users' platform: its store of items, usage reports and orders.
+"""Fake of the users' platform: its store, and its API of usage reports and orders.
 
-It speaks what the platform's pages say: items under one counter of revisions, watches,
-leases, conditional writes, and calls under a fencing number.
+It implements the platform's documented interface: items under a global revision
+counter, watches, leases, conditional writes, and API calls with a fencing token.
 """
 
 import asyncio
@@ -24,15 +24,16 @@
 
 
 def add_options(parser):
-    """Add the flags of this role."""
+    """Add the command-line flags of this fake."""
 
 
 class Platform:
-    """Items, leases, and what the duties' calls said."""
+    """State of the store, and the recorded calls to the API."""
 
     def __init__(self, options):
-        # ``deaf`` watches wait and hear nothing; ``lose_writes`` carries that many
-        # writes out and never answers; ``turn_away`` refuses all but the operator.
+        # ``deaf``: watches report no events. ``lose_writes``: this many writes are
+        # carried out, but their answers are lost. ``turn_away``: all calls to the store
+        # but the operator's are refused.
         self.switches = Switches(
             turn_away=False,
             silent=False,
@@ -43,7 +44,7 @@
         self.switches.react = self.wake
         self.items = {}
         self.history = []
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.revision = 1
         self.leases = {}
         self.ttls = {}
@@ -53,25 +54,25 @@
         self.fences = {}
 
     async def wake(self):
-        """Let every watch look again."""
+        """Make every watch check for events again."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def put(self, key, value, lease=0):
-        """Write an item at the store's present revision."""
+        """Write an item at the store's current revision."""
         item = {"key": key, "value": value, "revision": self.revision, "lease": lease}
         created = self.items.get(key, item).get("createRev", self.revision)
         self.items[key] = item | {"createRev": created}
         self.history.append(self.items[key])
 
     def delete(self, key):
-        """Delete an item at the store's present revision."""
+        """Delete an item at the store's current revision."""
         if self.items.pop(key, None) is not None:
             event = {"key": key, "revision": self.revision, "deleted": True}
             self.history.append(event)
 
     async def write(self, puts, deletes):
-        """Write and delete at one new revision."""
+        """Write and delete items at one new revision."""
         self.revision += 1
         for put in puts:
             self.put(put["key"], put["value"], put.get("lease", 0))
@@ -80,20 +81,22 @@
         await self.wake()
 
     async def end_leases(self):
-        """End what has run out, and the items that stand under it."""
+        """End the expired leases and delete the items attached to them."""
         now = time.monotonic()
-        for lease in [name for name, until in self.leases.items() if until <= now]:
+        for lease in [
+            name for name, expires_at in self.leases.items() if expires_at <= now
+        ]:
             await self.end_lease(lease)
 
     async def end_lease(self, lease):
-        """End one lease."""
+        """End one lease and delete the items attached to it."""
         self.leases.pop(lease, None)
         keys = [key for key, item in self.items.items() if item["lease"] == lease]
         if keys:
             await self.write([], keys)
 
     def select(self, prefix, after):
-        """Return the events under a prefix that are later than a revision."""
+        """Return the events of keys with a prefix that are later than a revision."""
         return [
             event
             for event in self.history
@@ -101,10 +104,10 @@
         ]
 
 
-def needs_store(handler):
-    """Strike the faults of the store's calls before they are carried out."""
+def apply_faults(handler):
+    """Wrap a handler of the store so that the set faults apply before it."""
 
-    async def served(state, request):
+    async def handle(state, request):
         await state.end_leases()
         if state.switches["silent"]:
             await asyncio.Event().wait()
@@ -112,12 +115,12 @@
             return reply({"error": "busy"}, UNAVAILABLE)
         return await handler(state, request)
 
-    return served
+    return handle
 
 
-@needs_store
+@apply_faults
 async def list_items(state, request):
-    """List the items under a prefix."""
+    """List the items whose keys have a prefix."""
     prefix, after = request.query["prefix"], request.query.get("after", "")
     items = [state.items[key] for key in sorted(state.items) if key.startswith(prefix)]
     items = [item for item in items if item["key"] > after]
@@ -125,11 +128,11 @@
     return reply(value)
 
 
-@needs_store
+@apply_faults
 async def watch(state, request):
-    """Wait for events under a prefix."""
+    """Wait for events of keys with a prefix."""
     after, prefix = int(request.query["after"]), request.query["prefix"]
-    if after < state.forgotten:
+    if after < state.compacted_revision:
         return reply({"error": "compacted"}, 410)
 
     def find():
@@ -137,18 +140,18 @@
 
     wait = int(request.query["waitMs"]) / 1000
     events = await wait_until(find, lambda: state.changed, wait) or []
-    if state.switches["turn_away"] or after < state.forgotten:
+    if state.switches["turn_away"] or after < state.compacted_revision:
         await drop(request)
     return reply({"events": events, "storeRevision": state.revision})
 
 
-@needs_store
+@apply_faults
 async def commit(state, request):
-    """Write under conditions."""
+    """Write items if the expected revisions match."""
     body = await read_json(request)
-    checks = {row["key"]: row["revision"] for row in body.get("ifRev", ())}
-    found = {key: state.items.get(key, {}).get("revision", 0) for key in checks}
-    if found != checks:
+    expected = {row["key"]: row["revision"] for row in body.get("ifRev", ())}
+    actual = {key: state.items.get(key, {}).get("revision", 0) for key in expected}
+    if actual != expected:
         return reply({"items": []}, 412)
     leases = {put.get("lease", 0) for put in body.get("puts", ())} - {0}
     if leases - set(state.leases):
@@ -159,9 +162,9 @@
     return reply({"revision": state.revision})
 
 
-@needs_store
+@apply_faults
 async def grant(state, request):
-    """Give a lease."""
+    """Grant a lease."""
     ttl = (await read_json(request))["ttlMs"]
     lease = next(state.lease_ids)
     state.leases[lease] = time.monotonic() + ttl / 1000
@@ -169,7 +172,7 @@
     return reply({"lease": lease, "ttlMs": ttl})
 
 
-@needs_store
+@apply_faults
 async def keep(state, request):
     """Renew a lease."""
     lease = int(request.match_info["lease"])
@@ -180,15 +183,15 @@
     return reply({"ttlMs": ttl})
 
 
-@needs_store
+@apply_faults
 async def end(state, request):
-    """End a lease."""
+    """Handle a request to end a lease."""
     await state.end_lease(int(request.match_info["lease"]))
     return reply({})
 
 
 async def operate(state, request):
-    """Write or delete as the operator and the upstreams do, whatever the faults."""
+    """Write or delete as the operator and the upstreams do, unaffected by faults."""
     body = await read_json(request)
     puts = [
         {"key": key, "value": base64.b64encode(value.encode()).decode()}
@@ -199,15 +202,15 @@
 
 
 async def forget(state, request):
-    """Drop the history and cut the watches."""
-    state.forgotten = state.revision
+    """Drop the event history and close the watches."""
+    state.compacted_revision = state.revision
     state.history.clear()
     await state.wake()
     return reply({})
 
 
-async def call_duty(state, request):
-    """Take a usage report or an order, if its fencing number is new enough."""
+async def handle_api_call(state, request):
+    """Accept a usage report or an order unless its fencing token is outdated."""
     body = await read_json(request)
     fence = int(request.headers["X-Fence-Token"])
     subject = (request.path, body.get("service"), body.get("zone"))
@@ -226,23 +229,23 @@
 
 
 def make_record(state):
-    """Show what the stand-in saw."""
+    """Return the state and the received calls, for tests."""
     keys = {key: item["revision"] for key, item in state.items.items()}
-    told = {
+    statuses = {
         key: json.loads(base64.b64decode(item["value"]))
         for key, item in state.items.items()
         if key.startswith("status/")
     }
     return {
         "keys": keys,
-        "values": told,
+        "values": statuses,
         "calls": state.calls,
         "revision": state.revision,
     }
 
 
 async def build(options):
-    """Make the application."""
+    """Return the web application, and None since there is no second port."""
     state = Platform(options)
     routes = (
         ("GET", "/-/kv-range", list_items),
@@ -253,8 +256,8 @@
         ("DELETE", "/-/kv-lease-end/{lease}", end),
         ("POST", "/-/operate", operate),
         ("POST", "/-/forget", forget),
-        ("POST", "/usage", call_duty),
-        ("POST", "/scale", call_duty),
+        ("POST", "/usage", handle_api_call),
+        ("POST", "/scale", handle_api_call),
     )
     app = build_app(state, make_record, routes)
     app.cleanup_ctx.append(lambda app: run_leases(state))
@@ -262,7 +265,7 @@
 
 
 async def run_leases(state):
-    """End leases in time while the application runs."""
+    """End expired leases periodically while the application runs."""
 
     async def tick():
         while True:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Real gateways on a stand-in of the platform: outages, lost writes, frozen holders."""
+"""Tests of gateway processes with a fake platform: outages, lost writes, freezes."""
 
 import json
 import signal
@@ -45,12 +45,12 @@
 
 
 def answer(conn, method, path, body):
-    """Answer as the upstream itself."""
+    """Answer with the upstream's signature."""
     head = b"HTTP/1.1 200 OK\r\nX-Server-Stamp: s\r\nContent-Length: 2\r\n\r\n"
     conn.sendall(head + b"ok")
 
 
-# What an upstream says of itself.
+# The registration entry that an upstream writes.
 ENTRY = {
     "service": "web",
     "zone": "a",
@@ -74,23 +74,23 @@
         self.publish()
 
     def operate(self, puts=None, deletes=()):
-        """Write as the operator and the upstreams do."""
+        """Write and delete items as the operator and the upstreams do."""
         puts = {key: json.dumps(value) for key, value in (puts or {}).items()}
         self.platform.post("/-/operate", {"puts": puts, "delete": list(deletes)})
 
     def publish(self):
-        """Put the document in force."""
+        """Publish the routing document."""
         self.operate({"op/config": self.document})
 
     def register(self, name, **changes):
-        """Register the upstream under a name."""
+        """Write a registration of the upstream under this name."""
         address = f"{HOST}:{self.upstream.port}"
         self.operate({f"servers/{name}": ENTRY | {"address": address} | changes})
 
     def start(self, name, settings_file=None, **options):
         """Start a gateway and wait until it is ready.
 
-        With a settings file, the store's address stands there.
+        With a settings file, the store's address is read from there.
         """
         flags = {
             "listen": f"{HOST}:0",
@@ -115,13 +115,13 @@
         return gateway
 
     def is_ready(self, gateway):
-        """Tell whether a gateway says that it is ready."""
+        """Return whether a gateway reports that it is ready."""
         with suppress(OSError):
             status, _ = call_json(gateway.info["ready_port"], "GET", "/-/ready")
             return status == 200
 
     def call(self, gateway, path="/page/x", key="k1"):
-        """Make one call and return its status."""
+        """Send one request and return the status of its answer."""
         head = (
             f"GET {path} HTTP/1.1\r\nHost: a.example\r\n"
             f"Authorization: Bearer {key}\r\n\r\n"
@@ -131,13 +131,13 @@
             return caller.read_answer().status
 
     def list_calls(self, path):
-        """Return holder, fence and body of the duties' calls."""
+        """Return (holder, fence, body) of each API call with this path."""
         calls = self.platform.record()["calls"]
         return [tuple(rest) for found, *rest in calls if found == path]
 
 
 class TestConfiguration(PlatformCase):
-    def test_a_change_is_in_force_and_a_key_taken_away_is_dead(self):
+    def test_a_change_comes_into_force_and_a_revoked_key_is_refused(self):
         gateway = self.start("one")
         self.assertEqual(self.call(gateway), 200)
         self.assertEqual(self.call(gateway, key="k9"), 401)
@@ -147,9 +147,9 @@
         poll(lambda: self.call(gateway) == 401)
         self.assertEqual(self.call(gateway, key="k2"), 200)
 
-    def test_a_key_is_not_honoured_longer_than_its_removal_may_stay_unknown(self):
-        # The store turns this machine away while an operator takes a key away: nobody
-        # tells the gateway, and it would honour the key until the store returns.
+    def test_keys_are_refused_once_the_revoke_bound_has_passed_without_the_store(self):
+        # The store refuses the gateway's calls while an operator revokes a key: without
+        # a bound, the gateway would accept the key until the store is reachable again.
         gateway = self.start("one", revoke_bound="2")
         self.platform.fault(turn_away=True)
         self.document["version"] = 7
@@ -160,9 +160,9 @@
         self.platform.fault(turn_away=False)
         poll(lambda: self.call(gateway) == 401)
 
-    def test_a_change_in_a_dropped_history_is_found(self):
-        # The store's watches hear nothing while a key is taken away; then the history
-        # is gone and the watches are cut.
+    def test_a_change_in_a_dropped_history_is_applied(self):
+        # The store's watches report nothing while a key is revoked; then the store
+        # drops its history and cuts the watches, so the change is never reported.
         gateway = self.start("one")
         self.platform.fault(deaf=True)
         self.document["version"] = 7
@@ -172,7 +172,7 @@
         self.platform.post("/-/forget", {})
         poll(lambda: self.call(gateway) == 401)
 
-    def test_a_silent_store_is_left_and_found_again(self):
+    def test_the_gateway_recovers_from_a_silent_store(self):
         gateway = self.start("one", revoke_bound="2")
         self.platform.fault(silent=True)
         poll(lambda: self.call(gateway) == 503, 15)
@@ -181,7 +181,7 @@
 
 
 class TestUpstreams(PlatformCase):
-    def test_a_leaving_upstream_gets_no_more_and_its_successor_does(self):
+    def test_a_leaving_upstream_is_replaced_by_its_successor(self):
         gateway = self.start("one")
         self.register("i-1", state="draining")
         poll(lambda: self.call(gateway) == 503)
@@ -196,11 +196,11 @@
     def setUp(self):
         super().setUp()
         self.fails = False
-        self.other = RawUpstream(self.answer_other)
+        self.other = RawUpstream(self.answer_new_version)
         self.addCleanup(self.other.close)
 
-    def answer_other(self, conn, method, path, body):
-        """Answer as an upstream of the new version."""
+    def answer_new_version(self, conn, method, path, body):
+        """Answer as an upstream of the new version, with 500 if ``fails`` is set."""
         if not self.fails:
             answer(conn, method, path, body)
             return
@@ -208,18 +208,18 @@
         conn.sendall(head)
 
     def roll_out(self, seconds):
-        """Order a new version, whose upstream starts beside the old one."""
+        """Order a roll-out and register an upstream of the new version."""
         order = {"service": "web", "target": "v2", "durationS": seconds}
         self.operate({"op/rollout/web": order})
         address = f"{HOST}:{self.other.port}"
         self.register("i-2", version="v2", address=address)
 
     def read_status(self):
-        """Return the state that the operator is told, None before the first."""
+        """Return the reported roll-out status, an empty dict before the first."""
         return self.platform.record()["values"].get("status/rollout/web", {})
 
-    def keep_calling(self, gateway, state):
-        """Call until the operator is told of a state."""
+    def call_until_reported(self, gateway, state):
+        """Send requests until this state is reported to the operator."""
 
         def seen():
             for _ in range(40):
@@ -228,30 +228,30 @@
 
         poll(seen, 30)
 
-    def test_a_good_version_takes_over_by_the_deadline(self):
+    def test_a_good_version_gets_all_traffic_by_the_deadline(self):
         gateway = self.start("one")
         self.assertEqual(self.call(gateway), 200)
         self.roll_out(8)
-        self.keep_calling(gateway, "completed")
+        self.call_until_reported(gateway, "completed")
         self.assertEqual(self.read_status()["target"], "v2")
         self.operate(deletes=["servers/i-1"])
         before = len(self.upstream.heads)
         self.assertEqual({self.call(gateway) for _ in range(20)}, {200})
         self.assertEqual(len(self.upstream.heads), before)
 
-    def test_a_bad_version_is_rolled_back_and_gets_nothing_more(self):
-        # Every answer of the new version is a failure; callers are served by the old
-        # one at their second attempt, and soon by it alone.
+    def test_a_bad_version_is_rolled_back_and_gets_no_more_traffic(self):
+        # Every answer of the new version is an error. Callers are served by the old
+        # version at the second attempt, and after the rollback only by it.
         self.fails = True
         gateway = self.start("one")
         self.assertEqual(self.call(gateway), 200)
         self.roll_out(60)
-        self.keep_calling(gateway, "rolled_back")
+        self.call_until_reported(gateway, "rolled_back")
         before = len(self.other.heads)
         self.assertEqual({self.call(gateway) for _ in range(100)}, {200})
         self.assertEqual(len(self.other.heads), before)
 
-    def test_a_broken_order_harms_nobody(self):
+    def test_an_invalid_order_is_ignored(self):
         gateway = self.start("one")
         self.operate({"op/rollout/web": {"target": 7, "durationS": -1}})
         self.operate({"op/rollout/nobody": {"target": "v9", "durationS": 5}})
@@ -262,19 +262,19 @@
 
 class TestDuties(PlatformCase):
     def read_reports(self):
-        """Return the counts reported for each window, all of them."""
+        """Return a list of the reported counts for each window."""
         reports = {}
         for _, _, body in self.list_calls("/usage"):
             reports.setdefault(body["windowId"], []).append(body["counts"])
         return reports
 
     def count_reported(self):
-        """Return what all windows together were reported with."""
+        """Return the customer's reported requests, summed over all windows."""
         return sum(
             counts[0].get("insurer", 0) for counts in self.read_reports().values()
         )
 
-    def test_usage_of_all_instances_is_reported_once(self):
+    def test_the_usage_of_all_instances_is_reported_once(self):
         gateways = [self.start(name) for name in ("one", "two")]
         for gateway in gateways * 5:
             self.assertEqual(self.call(gateway), 200)
@@ -282,9 +282,10 @@
         for counts in self.read_reports().values():
             self.assertEqual(counts, counts[:1] * len(counts))
 
-    def test_a_window_is_reported_the_same_by_the_next_holder(self):
-        # The holder decides the counts, and is killed before or after it sends them:
-        # the next one counts anew, and the platform gets two reports that differ.
+    def test_the_next_holder_reports_the_same_counts_of_a_window(self):
+        # The lease holder computes the counts and is killed before or after it sends
+        # them. If the next holder computed them again, the platform would receive two
+        # different reports of one window.
         first = self.start("one")
         holder = poll(lambda: self.list_calls("/usage"), 20)[0][0]
         self.assertEqual(holder, "one")
@@ -299,23 +300,23 @@
         fences = [(fence, holder) for holder, fence, _ in self.list_calls("/usage")]
         self.assertEqual(fences, sorted(fences))
 
-    def test_counts_survive_the_instance_that_counted(self):
-        # An instance is killed before the window ends in which it served: nobody else
-        # has its counts, and the report is off by all it did.
+    def test_the_counts_of_a_killed_instance_are_reported(self):
+        # An instance is killed before the end of a window in which it served requests.
+        # If no other instance had its counts, they would be missing in the report.
         metrics = f"{HOST}:0"
         first = self.start("one", usage_window="3", metrics_listen=metrics)
         second = self.start("two", usage_window="3")
         poll(lambda: self.list_calls("/usage"), 20)
         for _ in range(10):
             self.assertEqual(self.call(second), 200)
-        told = "chervilwing_gateway_usage_heard 10\n"
+        expected = "chervilwing_gateway_usage_heard 10\n"
         port = first.info["metrics_port"]
-        poll(lambda: told in call(port, "GET", "/-/metrics").body.decode())
+        poll(lambda: expected in call(port, "GET", "/-/metrics").body.decode())
         second.kill()
         poll(lambda: self.count_reported() == 10, 30)
         self.assertIsNone(first.popen.poll())
 
-    def test_a_frozen_holder_wakes_and_is_refused_or_silent(self):
+    def test_a_resumed_holder_sends_no_accepted_call_with_an_old_fence(self):
         first = self.start("one")
         poll(lambda: self.list_calls("/usage"), 20)
         self.start("two")
@@ -329,7 +330,7 @@
             highest = max(highest, fence)
             self.assertGreaterEqual(fence, highest)
 
-    def test_instances_are_ordered_by_one_holder(self):
+    def test_only_one_holder_orders_instances(self):
         self.document["services"].append(ENGINES)
         self.publish()
         for name in ("one", "two"):
@@ -341,8 +342,8 @@
         self.assertEqual(len(set(kinds[:4])), 4)
 
 
-class TestFigures(PlatformCase):
-    def test_figures_are_served_on_their_own_address(self):
+class TestMetrics(PlatformCase):
+    def test_metrics_are_served_on_their_own_address(self):
         gateway = self.start("one", metrics_listen=f"{HOST}:0")
         self.call(gateway)
         found = call(gateway.info["metrics_port"], "GET", "/-/metrics")
@@ -353,7 +354,7 @@
 
 
 class TestStops(PlatformCase):
-    def test_a_planned_stop_is_not_ready_and_cuts_nothing(self):
+    def test_a_planned_stop_reports_not_ready_and_cuts_no_request(self):
         gateway = self.start("one", drain_lag="0.5")
         gateway.popen.terminate()
         poll(lambda: not self.is_ready(gateway))
@@ -361,13 +362,13 @@
         self.assertEqual(gateway.popen.wait(10), 0)
         self.assertNotIn("chervilwing/instances/one", self.platform.record()["keys"])
 
-    def test_the_hang_up_signal_does_not_end_it(self):
+    def test_sighup_does_not_end_the_gateway(self):
         gateway = self.start("one")
         gateway.signal(signal.SIGHUP)
         self.assertEqual(self.call(gateway), 200)
         self.assertIsNone(gateway.popen.poll())
 
-    def test_a_bad_setting_ends_it_with_a_reason(self):
+    def test_a_bad_setting_ends_the_gateway_with_a_message(self):
         argv = [sys.executable, "-m", "chervilwing.platform"]
         argv += ["--name=one", "--lease=soon"]
         process = self.procs.run(argv)
