--- a/tests/fakes/relay.py
+++ b/tests/fakes/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that stands for the network between two ends."""
+"""A TCP relay that simulates the network between two processes, with faults."""
 
 import asyncio
 import socket
@@ -12,7 +12,7 @@
 
 
 def add_options(parser):
-    """Add the flags of this role."""
+    """Add the command-line flags of this fake."""
     parser.add_argument("--to", default="", help="HOST:PORT; or by the switch to")
 
 
@@ -26,19 +26,19 @@
         self.links = []
         self.server = None
         self.flowing = asyncio.Event()
-        # Bound and never listening: keeps the port ours while the listener is closed.
-        self.claim = bind(options.port)
-        self.port = self.claim.getsockname()[1]
+        # Bound but not listening: reserves the port while the listener is closed.
+        self.reserved_sock = bind(options.port)
+        self.port = self.reserved_sock.getsockname()[1]
 
     @property
     def target(self):
-        """Return where connections go."""
+        """Return the (host, port) to which connections are relayed."""
         host, _, port = self.switches["to"].rpartition(":")
         return host, int(port)
 
 
 class Link:
-    """One connection through the network, from caller to target."""
+    """State of one relayed connection, from caller to target."""
 
     def __init__(self, writer):
         self.writers = [writer]
@@ -48,7 +48,7 @@
 
 
 def bind(port):
-    """Return a socket bound to the port, which several of ours may share."""
+    """Return a socket bound to the port; the relay may bind several sockets to it."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     sock.bind((HOST, port))
@@ -56,7 +56,7 @@
 
 
 def reset(link):
-    """End a connection with a reset to both ends."""
+    """Close a relayed connection with a TCP reset to both ends."""
     for writer in link.writers:
         sock = writer.get_extra_info("socket")
         if sock is not None and not writer.is_closing():
@@ -65,7 +65,7 @@
 
 
 async def receive(link, reader):
-    """Return the next bytes; a silent link doesn't tell the other end of a reset."""
+    """Return the next bytes; on a silent link, a reset is not propagated."""
     try:
         return await reader.read(CHUNK)
     except ConnectionError:
@@ -74,18 +74,18 @@
         raise
 
 
-async def carry(network, link, reader, writer, way):
-    """Carry bytes one way; each leaves ``delay`` seconds after it came."""
+async def relay_bytes(network, link, reader, writer, direction):
+    """Relay bytes in one direction, ``delay`` seconds after they were received."""
     queue = asyncio.Queue(QUEUE_LIMIT)
     loop = asyncio.get_running_loop()
 
-    async def take_in():
+    async def read_all():
         data = True
         while data:
             data = await receive(link, reader)
             await queue.put((loop.time() + network.switches["delay"], data))
 
-    async def send_on():
+    async def write_all():
         while True:
             due, data = await queue.get()
             await asyncio.sleep(max(0, due - loop.time()))
@@ -95,42 +95,43 @@
             if not data:
                 return writer.write_eof()
             writer.write(data)
-            link.sent[way] += len(data)
+            link.sent[direction] += len(data)
             await writer.drain()
 
     async with asyncio.TaskGroup() as tasks:
-        tasks.create_task(take_in())
-        tasks.create_task(send_on())
+        tasks.create_task(read_all())
+        tasks.create_task(write_all())
 
 
 async def connect(network, reader, writer):
-    """Join a caller to the target."""
+    """Connect an accepted caller to the target and relay until either end closes."""
     link = Link(writer)
     network.links.append(link)
     try:
         await network.flowing.wait()
-        there_reader, there_writer = await asyncio.open_connection(*network.target)
-        link.writers.append(there_writer)
-        # Accepted just before the cut, it is joined only now: it would survive the cut.
+        target_reader, target_writer = await asyncio.open_connection(*network.target)
+        link.writers.append(target_writer)
+        # The network was cut after the caller was accepted; the connection must not
+        # survive.
         if network.switches["cut"]:
             raise ConnectionResetError
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(carry(network, link, reader, there_writer, 0))
-            tasks.create_task(carry(network, link, there_reader, writer, 1))
+            tasks.create_task(relay_bytes(network, link, reader, target_writer, 0))
+            tasks.create_task(relay_bytes(network, link, target_reader, writer, 1))
     except* OSError:
         await network.flowing.wait()
         reset(link)
     finally:
         link.open = False
-        for each in link.writers:
-            each.close()
+        for end in link.writers:
+            end.close()
 
 
 async def start(network):
-    """Listen for callers."""
+    """Start listening for callers."""
     sock = bind(network.port)
-    joined = lambda reader, writer: connect(network, reader, writer)
-    network.server = await asyncio.start_server(joined, sock=sock)
+    on_connection = lambda reader, writer: connect(network, reader, writer)
+    network.server = await asyncio.start_server(on_connection, sock=sock)
 
 
 async def cut(network):
@@ -142,14 +143,14 @@
 
 
 def silence(network):
-    """Make the connections of now silent for good; later ones work."""
+    """Make all present connections silent forever; later ones work."""
     network.switches.values["silent"] = False
     for link in network.links:
         link.silent = True
 
 
 def make_react(network):
-    """Return what puts a change of the switches into force."""
+    """Return the coroutine function that applies a change of the switches."""
 
     async def react():
         if network.switches["silent"]:
@@ -162,7 +163,7 @@
 
 
 def make_record(network):
-    """Return the connections and the bytes that each carried."""
+    """Return each connection's state and bytes relayed per direction."""
     links = [
         {"open": link.open, "silent": link.silent, "sent": link.sent}
         for link in network.links
@@ -171,7 +172,7 @@
 
 
 async def build(options):
-    """Start the relay and make the application of its control endpoint."""
+    """Start the relay and build the web application that controls it."""
     network = Network(options)
     await start(network)
     network.switches.react = make_react(network)
--- a/tests/resuming.py
+++ b/tests/resuming.py
@@ -1,4 +1,4 @@
-"""A caller that may lose its connection in an answer and come back for the rest."""
+"""A caller that loses its connection during an answer and resumes it later."""
 
 import json
 import socket
@@ -27,24 +27,24 @@
         self.clear()
 
     def clear(self):
-        """Forget the last connection, but not what it brought."""
+        """Reset the state of the last connection, but keep the received tokens."""
         self.caller = None
         self.ended = self.whole = False
         self.status, self.body, self.problem = 0, b"", ""
 
     def copy(self, headers, repeat):
-        """Return the same request with another key, as if it were a reconnect."""
+        """Return the same request with other headers; a reconnect unless ``repeat``."""
         other = Reader(self.request_id, self.prompt, self.count, self.stream, headers)
         other.last = None if repeat else self.last
         return other
 
     @property
     def text(self):
-        """Return all that was read."""
+        """Return the received text."""
         return "".join(self.tokens)
 
     def connect(self, port):
-        """Send the request, with the last event's id if there was one, and read on."""
+        """Send the request, with the last event's id if any, and read in a thread."""
         self.clear()
         body = {"model": "memo", "prompt": self.prompt, "max_tokens": self.count}
         headers = dict(self.headers)
@@ -57,12 +57,12 @@
         threading.Thread(target=self.run, args=(self.caller,), daemon=True).start()
 
     def drop(self):
-        """Lose the connection."""
+        """Shut the connection down."""
         with suppress(OSError):
             self.caller.sock.shutdown(socket.SHUT_RDWR)
 
     def run(self, caller):
-        """Read one connection to its end."""
+        """Read the answer on one connection to its end."""
         with suppress(OSError, EOFError, ValueError):
             self.status, headers = caller.read_head()
             if headers.get("transfer-encoding") == "chunked":
@@ -70,20 +70,20 @@
             else:
                 self.read_whole(caller, int(headers["content-length"]))
         caller.close()
-        # A later connection's state is its own.
+        # A later connection may have replaced this one.
         if caller is self.caller:
             self.ended = True
 
     def read_events(self, caller):
-        """Read a stream's events."""
+        """Read the events of a stream."""
         buffer = b""
         while chunk := caller.read_chunk():
             *events, buffer = (buffer + chunk).split(b"\n\n")
             for event in events:
-                self.take(event.decode())
+                self.process_event(event.decode())
 
-    def take(self, event):
-        """Read one event: a token, the figures or the end mark."""
+    def process_event(self, event):
+        """Process one event: a token, usage data or the end mark."""
         fields = dict(line.split(": ", 1) for line in event.split("\n"))
         if fields["data"] == "[DONE]":
             self.whole = True
@@ -93,7 +93,7 @@
             self.tokens.append(json.loads(fields["data"])["choices"][0]["text"])
 
     def read_whole(self, caller, length):
-        """Read an answer that comes at once, or a failure."""
+        """Read an answer that is not streamed, or an error."""
         self.body = caller.read_bytes(length)
         value = json.loads(self.body)
         self.problem = value.get("type", "").rpartition("/")[2]
@@ -102,7 +102,7 @@
             self.whole = True
 
 
-def begin_resumable(stream):
+def make_begin_step(stream):
     def begin(play, name, count, entry):
         reader = Reader(name, f"prompt of {name}", int(count), stream)
         play.readers[name] = reader
@@ -115,7 +115,7 @@
     poll(lambda: len(play.readers[name].tokens) >= int(count), 20.0)
 
 
-def wait_for_cut(play, name):
+def wait_for_disconnect(play, name):
     poll(lambda: play.readers[name].ended, 20.0)
     assert not play.readers[name].whole
 
@@ -124,35 +124,35 @@
     play.readers[name].connect(play.entries[entry].port)
 
 
-def reconnect_other(play, name, entry, repeat=False):
-    """Send another customer's request that is the same in all but its key."""
+def reconnect_as_other(play, name, entry, repeat=False):
+    """Send the same request as another customer."""
     reader = play.readers[name].copy(OTHER, repeat)
     play.readers[f"other-{name}"] = reader
     reader.connect(play.entries[entry].port)
 
 
-def repeat_other(play, name, entry):
-    reconnect_other(play, name, entry, repeat=True)
+def repeat_as_other(play, name, entry):
+    reconnect_as_other(play, name, entry, repeat=True)
 
 
-def wait_for_giving_up(play, name, entry):
+def wait_for_caller_left(play, name, entry):
     poll(lambda: "caller-left" in read_outcomes(play, name, entry), 20.0)
 
 
 def read_outcomes(play, name, entry):
-    """Return how an entry instance's attempts at a request ended, by its log."""
+    """Return the outcomes of a request in an entry instance's log."""
     lines = read_file(play.entries[entry].stderr).splitlines()
     rows = [json.loads(line) for line in lines]
     return [row.get("outcome") for row in rows if row.get("request") == name]
 
 
-def expect_gets(play, name, kind):
+def expect_problem(play, name, kind):
     reader = play.readers[name]
     poll(lambda: reader.ended, 20.0)
     assert reader.problem == kind, (reader.status, reader.body)
 
 
-def expect_joined(play, name):
+def expect_complete(play, name):
     reader = play.readers[name]
     poll(lambda: reader.ended, 30.0)
     assert reader.whole, (reader.status, reader.tokens, reader.body)
@@ -169,23 +169,23 @@
     assert not reader.tokens, reader.tokens
 
 
-def expect_by(play, name, entry):
-    # The answer's last byte goes out a moment before its line in the log.
+def expect_ended_by(play, name, entry):
+    # The log line is written shortly after the last byte of the answer.
     poll(lambda: "ran" in read_outcomes(play, name, entry))
 
 
 STEPS = {
-    "begin_stream": begin_resumable(True),
-    "begin_memo": begin_resumable(False),
+    "begin_stream": make_begin_step(True),
+    "begin_memo": make_begin_step(False),
     "when_read": wait_for_read,
-    "when_cut": wait_for_cut,
+    "when_cut": wait_for_disconnect,
     "drop": lambda play, name: play.readers[name].drop(),
     "reconnect": reconnect,
-    "reconnect_other": reconnect_other,
-    "repeat_other": repeat_other,
-    "when_given_up": wait_for_giving_up,
-    "expect_gets": expect_gets,
-    "expect_joined": expect_joined,
+    "reconnect_other": reconnect_as_other,
+    "repeat_other": repeat_as_other,
+    "when_given_up": wait_for_caller_left,
+    "expect_gets": expect_problem,
+    "expect_joined": expect_complete,
     "expect_refused": expect_refused,
-    "expect_by": expect_by,
+    "expect_by": expect_ended_by,
 }
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The stand-in of a network: what a cut must end."""
+"""Tests of the fake network: connections that a cut must close."""
 
 import asyncio
 import unittest
@@ -9,9 +9,9 @@
 
 
 class TestCut(unittest.IsolatedAsyncioTestCase):
-    async def test_a_connection_that_was_just_accepted_ends_with_the_cut(self):
-        # The listener takes a connection and the cut comes before it is joined to its
-        # target: joined afterwards, two sides that are cut off would talk through it.
+    async def test_a_connection_accepted_just_before_a_cut_is_closed(self):
+        # The relay accepts a connection, and the network is cut before it connects to
+        # the target. If it connected afterwards, the two sides could still communicate.
         async def serve(reader, writer):
             writer.write(b"through")
 
@@ -20,7 +20,7 @@
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
         network = relay.Network(Namespace(to=f"{HOST}:{port}", port=0))
-        self.addCleanup(network.claim.close)
+        self.addCleanup(network.reserved_sock.close)
         network.flowing.set()
         network.switches.values["cut"] = True
         # The accepting side of a connection whose task starts after the cut.
@@ -31,7 +31,7 @@
         self.addCleanup(near.close)
         reader, writer = await asyncio.open_connection(*near.sockets[0].getsockname())
         self.addCleanup(writer.close)
-        joined = asyncio.create_task(relay.connect(network, *await accepted))
+        connecting = asyncio.create_task(relay.connect(network, *await accepted))
         with self.assertRaises(ConnectionError):
             await asyncio.wait_for(reader.readexactly(7), 5)
-        await joined
+        await connecting
--- a/tests/upstreams.py
+++ b/tests/upstreams.py
@@ -1,4 +1,4 @@
-"""Parts of a test's own process: a scripted upstream, a loop for components."""
+"""Helpers in the test's process: a scripted upstream and an event loop."""
 
 import json
 import socket
@@ -18,7 +18,7 @@
 
 
 class RawUpstream:
-    """Run ``script(conn, method, path, body)`` for each request; ``close`` ends it."""
+    """An upstream that runs ``script(conn, method, path, body)`` for each request."""
 
     def __init__(self, script):
         self.script = script
@@ -27,13 +27,14 @@
         self.conns = []
         self.sent = 0
         self.listener = socket.create_server((HOST, 0), backlog=64)
-        # What a script has sent is then what the instance has taken, nearly.
+        # With a small buffer, the bytes that a script has sent are nearly those that
+        # the instance has received.
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
         self.port = self.listener.getsockname()[1]
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self):
-        """Serve each connection in a thread of its own."""
+        """Serve each connection in its own thread."""
         with suppress(OSError):
             while True:
                 conn = self.listener.accept()[0]
@@ -41,7 +42,7 @@
                 threading.Thread(target=self.serve, args=(conn,), daemon=True).start()
 
     def serve(self, conn):
-        """Read requests and run the script until the connection ends."""
+        """Read requests and run the script for each until the connection closes."""
         reader = Caller.__new__(Caller)
         reader.sock, reader.buffer, reader.raw = conn, b"", b""
         with suppress(OSError, EOFError), conn:
@@ -56,16 +57,16 @@
                 self.script(conn, method, path, body)
 
     def send(self, conn, data):
-        """Send bytes and count them."""
+        """Send bytes and add them to ``sent``."""
         conn.sendall(data)
         self.sent += len(data)
 
     def count(self, path):
-        """Return how many requests for this path came."""
+        """Return how many requests for this path were received."""
         return sum(item[2] == path for item in self.seen)
 
     def close(self):
-        """End the listener and every connection."""
+        """Close the listener and every connection."""
         for sock in (self.listener, *self.conns):
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
@@ -73,7 +74,7 @@
 
 
 class Loop:
-    """A poller, and components on it, that run only while a test waits."""
+    """An event loop for components that runs only while the test calls it."""
 
     def __init__(self):
         self.root = BaseComponent()
@@ -81,12 +82,12 @@
         self.root._running = True
 
     def run_once(self):
-        """Handle what has happened, and let a tick pass."""
+        """Handle pending events and fire one tick."""
         self.root.fire(tick(), "*")
         self.root.tick(0.01)
 
     def run_until(self, check):
-        """Handle events until the check holds."""
+        """Handle events until ``check`` returns a true value."""
 
         def step():
             self.run_once()
@@ -96,13 +97,13 @@
 
 
 def send_load(conn):
-    """Report that there is nothing to do."""
+    """Send an idle engine's load report as an HTTP answer."""
     load = {"running": 0, "waiting": 0, "slots": 8, "as_of": time.time()}
     body = json.dumps(load | {"cached_tokens": 0}).encode()
     conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
 def make_chunk(value):
-    """Return one server-sent event as one chunk."""
+    """Return one server-sent event as one chunk of chunked transfer coding."""
     data = f"data: {value if isinstance(value, str) else json.dumps(value)}\n\n"
     return b"%x\r\n%b\r\n" % (len(data), data.encode())
