--- a/src/chervilwing/attempts.py
+++ b/src/chervilwing/attempts.py
@@ -143,7 +143,7 @@
             self._retry_not_run(relay)
             return
         self._gateway.crash_watch.note_answered(relay)
-        if not verdict.sound:
+        if not verdict.authentic:
             self._abort_attempt(relay, "The answer is not the upstream's own.")
             return
         is_stream = status == HTTP_OK and headers.get("content-type", "").startswith(
@@ -219,8 +219,8 @@
         relay.exchange.write(relay.take_buffered())
 
     def _record_start(self, relay):
-        if relay.started_at is None:
-            relay.started_at = read_boottime()
+        if relay.first_byte_at is None:
+            relay.first_byte_at = read_boottime()
         if relay.pool.start(relay.station, relay.demand, read_boottime()):
             self._gateway.placing.note_started(relay)
             if relay.answer[0] < MIN_SERVER_ERROR:
--- a/src/chervilwing/dialects.py
+++ b/src/chervilwing/dialects.py
@@ -35,14 +35,14 @@
 class Verdict(NamedTuple):
     """What the status and header fields of an upstream's answer state.
 
-    ``not_run`` means that the request certainly has not run and never will. ``sound``
-    is False for an answer that the upstream itself can't have sent. ``limit`` is the
-    rate, in requests per second, that the upstream accepts from all instances together:
-    infinity if it states no limit, None if that is unknown.
+    ``not_run`` means that the request certainly has not run and never will.
+    ``authentic`` is False for an answer that the upstream itself can't have sent.
+    ``limit`` is the rate, in requests per second, that the upstream accepts from all
+    instances together: infinity if it states no limit, None if that is unknown.
     """
 
     not_run: bool = False
-    sound: bool = True
+    authentic: bool = True
     limit: float | None = None
 
 
@@ -82,7 +82,7 @@
     format_retry_after: Callable
 
 
-def end_to_end(headers):
+def select_end_to_end(headers):
     """Return the fields without the hop-by-hop ones (RFC 9110, section 7.6.1)."""
     connection_fields = headers.get("connection", "").lower().split(",")
     excluded = HOP_BY_HOP | {name.strip() for name in connection_fields}
@@ -97,7 +97,7 @@
 
 
 def _write_headers(headers, errand):
-    fields = end_to_end(headers)
+    fields = select_end_to_end(headers)
     fields.pop("authorization", None)
     fields["chervilwing-timeout"] = f"{errand.seconds_left:.3f}"
     fields["chervilwing-customer"] = errand.organisation
--- a/src/chervilwing/gateway.py
+++ b/src/chervilwing/gateway.py
@@ -400,7 +400,7 @@
         series = self.stats.select(relay.name or OPEN_LABEL, relay.route.name)
         series.record_outcome(outcome, cause)
         series.record_answer(now - relay.received_at)
-        if relay.started_at is not None:
-            series.record_first_token(relay.started_at - relay.received_at)
+        if relay.first_byte_at is not None:
+            series.record_first_token(relay.first_byte_at - relay.received_at)
         version = self.table.document.version
         log_request(describe_relay(relay, outcome, status, cause, version, now))
--- a/src/chervilwing/gateway_settings.py
+++ b/src/chervilwing/gateway_settings.py
@@ -108,7 +108,11 @@
     Field("store_timeout", parse_duration, "1", "s", "timeout of a call to the store"),
     Field("drain_timeout", parse_duration, "8", "s", "time for a planned stop"),
     Field(
-        "drain_lag", parse_duration, "2.5", "s", "until the balancer notices not ready"
+        "drain_lag",
+        parse_duration,
+        "2.5",
+        "s",
+        "until the balancer stops sending requests",
     ),
     Field("revoke_bound", parse_duration, "5", "s", "until a removed key is refused"),
     Field("apply_bound", parse_duration, "2", "s", "until a change is in force"),
@@ -150,7 +154,7 @@
         parse_count,
         "64",
         "count",
-        "customer and route pairs with own metrics",
+        "customer and route pairs with separate metrics",
     ),
 )
 GATEWAY = Program(
--- a/src/chervilwing/gatewayd.py
+++ b/src/chervilwing/gatewayd.py
@@ -85,8 +85,8 @@
         ).register(self)
         Placing(cfg, datagrams, self._coordinator, self.gateway).register(self)
         if not cfg.routes:
-            leads = lambda: neighbours.leads
-            CrashSaver(self._store, self.gateway, leads).register(self)
+            is_leader = lambda: neighbours.leads
+            CrashSaver(self._store, self.gateway, is_leader).register(self)
         if cfg.cloud is not None:
             cloud = adapter.make_cloud(cfg, platform)
             UsageReporter(
@@ -161,7 +161,7 @@
         self._usage_parts.counter.begin(time.time())
         # By default SIGHUP would end the process; circuits handles only SIGINT and
         # SIGTERM.
-        signal.signal(signal.SIGHUP, self._ask_reload)
+        signal.signal(signal.SIGHUP, self._request_reload)
         log_event(
             "started",
             name=self.cfg.name,
@@ -175,7 +175,7 @@
         event.stop()
         self._stop()
 
-    def _ask_reload(self, number, frame):
+    def _request_reload(self, number, frame):
         self._reload_at = 0.0
 
     def _reload(self):
--- a/src/chervilwing/local_stores.py
+++ b/src/chervilwing/local_stores.py
@@ -74,7 +74,7 @@
         self._write({key: value for key, value, _ in req.puts}, frozenset(req.deletes))
         return Committed(self._revision)
 
-    def _lease(self, req):
+    def _answer_lease_call(self, req):
         return Leased(LEASE_ID, getattr(req, "ttl", self.cfg.lease))
 
     def _write(self, puts, deletes):
@@ -130,9 +130,9 @@
 CALL_HANDLERS = {
     ListItems: LocalStore._list,
     Commit: LocalStore._commit,
-    TakeLease: LocalStore._lease,
-    KeepLease: LocalStore._lease,
-    EndLease: LocalStore._lease,
+    TakeLease: LocalStore._answer_lease_call,
+    KeepLease: LocalStore._answer_lease_call,
+    EndLease: LocalStore._answer_lease_call,
 }
 SOURCES = Sources(
     DOCUMENT_PREFIX, UPSTREAM_PREFIX, lambda key, value: value, lambda key, value: value
--- a/src/chervilwing/platform/headers.py
+++ b/src/chervilwing/platform/headers.py
@@ -4,7 +4,7 @@
 
 from ..addresses import format_address
 from ..demands import Demand, PromptPart
-from ..dialects import Dialect, Verdict, end_to_end, read_limit
+from ..dialects import Dialect, Verdict, read_limit, select_end_to_end
 
 REQUEST_ID = "x-request-id"
 DEADLINE = "x-deadline-ms"
@@ -79,7 +79,7 @@
 
 def write_headers(headers, errand):
     """Return the header fields of an attempt at an upstream."""
-    fields = end_to_end(headers)
+    fields = select_end_to_end(headers)
     fields = {name: value for name, value in fields.items() if name not in RESERVED}
     fields[DEADLINE] = str(max(1, int(errand.seconds_left * 1000)))
     fields[EXPECTED_UPSTREAM] = errand.upstream
@@ -103,8 +103,12 @@
     if NOT_RUN in headers:
         return Verdict(not_run=True, limit=read_stated_limit(headers))
     success = 200 <= status < 300
-    sound = "content-encoding" not in headers and (SIGNATURE in headers or not success)
-    return Verdict(sound=sound, limit=read_stated_limit(headers) if sound else None)
+    authentic = "content-encoding" not in headers and (
+        SIGNATURE in headers or not success
+    )
+    return Verdict(
+        authentic=authentic, limit=read_stated_limit(headers) if authentic else None
+    )
 
 
 def read_stated_limit(headers):
--- a/src/chervilwing/relays.py
+++ b/src/chervilwing/relays.py
@@ -12,10 +12,10 @@
 
 
 # Kind of scope of a refusal that concerns one customer only.
-CUSTOMER = "customer"
+CUSTOMER_SCOPE = "customer"
 
 
-class RelayLine(NamedTuple):
+class RequestLogLine(NamedTuple):
     """Log line of one finished request; times in seconds.
 
     ``version`` is the configuration's; ``expected`` (seconds) and ``prefill`` (tokens)
@@ -79,7 +79,7 @@
         "route",
         "sent_at",
         "station",
-        "started_at",
+        "first_byte_at",
         "ticket",
         "tried_upstreams",
     )
@@ -106,10 +106,13 @@
         self.ticket = None
         self.estimate = None
         self.sent_at = now
-        self.started_at = None
+        self.first_byte_at = None
+        # Status and header fields of the current attempt's answer.
         self.answer = None
         self.buffered = []
         self.buffered_size = 0
+        # Status, header fields and body of an upstream's server error, which is relayed
+        # if no later attempt succeeds.
         self.fallback = None
         self.limit = None
         self.events = EventReader() if route.resumable else None
@@ -144,10 +147,10 @@
 
 
 def describe_relay(relay, outcome, status, cause, version, now):
-    """Return the log line of a finished request."""
-    started, estimate = relay.started_at, relay.estimate
+    """Return the RequestLogLine of a finished request."""
+    first_byte_at, estimate = relay.first_byte_at, relay.estimate
     source = estimate.source if estimate else None
-    return RelayLine(
+    return RequestLogLine(
         request=relay.demand.request_id,
         customer=relay.name,
         route=relay.route.name,
@@ -161,7 +164,9 @@
         expected=round(estimate.seconds, 4) if estimate else 0.0,
         prefill=estimate.prefill if estimate else 0,
         source=source.registration.name if source else "",
-        first=0.0 if started is None else round(started - relay.received_at, 4),
+        first=0.0
+        if first_byte_at is None
+        else round(first_byte_at - relay.received_at, 4),
         last_event=relay.events.last_id if relay.events else "",
         fingerprint=relay.fingerprint,
         limit=relay.limit,
@@ -169,10 +174,10 @@
 
 
 def describe_refusal(req, exc, version):
-    """Return the log line of a request that was refused before any attempt."""
-    return RelayLine(
+    """Return the RequestLogLine of a request that was refused before any attempt."""
+    return RequestLogLine(
         request=req.headers.get("x-request-id", ""),
-        customer=exc.scope.name if exc.scope.kind == CUSTOMER else "",
+        customer=exc.scope.name if exc.scope.kind == CUSTOMER_SCOPE else "",
         route=f"{req.headers.get('host', '')}{req.path}",
         upstream="",
         tries=0,
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -92,9 +92,9 @@
                 return
         self.fail(f"upstream {index} got no call")
 
-    def check_success(self, found):
+    def check_success(self, response):
         """Check that a call succeeded."""
-        self.assertEqual(found.status, 200)
+        self.assertEqual(response.status, 200)
 
     def count_received(self):
         """Return how many requests each upstream received."""
@@ -104,9 +104,11 @@
 class TestRelaying(GatewayCase):
     def test_method_path_query_and_body_pass_unchanged(self):
         run = self.start(answer())
-        found = run.call("PUT", "/page/a%20b/../c?x=1&y=", b"body", X_Request_Id="r1")
-        self.assertEqual((found.status, found.body), (200, b"whole"))
-        self.assertEqual(found.headers["x-server-stamp"], "s")
+        response = run.call(
+            "PUT", "/page/a%20b/../c?x=1&y=", b"body", X_Request_Id="r1"
+        )
+        self.assertEqual((response.status, response.body), (200, b"whole"))
+        self.assertEqual(response.headers["x-server-stamp"], "s")
         _, method, path, body = run.upstreams[0].seen[0]
         self.assertEqual((method, body), ("PUT", b"body"))
         self.assertEqual(path, "/page/a%20b/../c?x=1&y=")
@@ -163,8 +165,8 @@
             conn.sendall(SIGNED + b"\r\nall of it")
             conn.shutdown(socket.SHUT_WR)
 
-        found = self.start(script).call("GET", "/page/x")
-        self.assertEqual((found.body, found.whole), (b"all of it", True))
+        response = self.start(script).call("GET", "/page/x")
+        self.assertEqual((response.body, response.whole), (b"all of it", True))
 
     def test_answers_without_a_body_are_relayed_without_one(self):
         def script(conn, method, path, body):
@@ -181,9 +183,9 @@
                 b"Authorization: Bearer k1\r\n\r\n"
             )
             self.assertEqual(caller.read_head()[1]["content-length"], "700")
-            found = run.send(caller, "DELETE", "/page/x")
-        self.assertEqual(found.status, 204)
-        self.assertNotIn("content-length", found.headers)
+            response = run.send(caller, "DELETE", "/page/x")
+        self.assertEqual(response.status, 204)
+        self.assertNotIn("content-length", response.headers)
 
     def test_an_instance_keeps_fewer_idle_connections_in_a_larger_fleet(self):
         traits = PoolTraits("web", connections=470)
@@ -195,9 +197,9 @@
     def test_without_a_configuration_requests_are_refused_with_retry_after(self):
         run = GatewayRun(DIALECT)
         self.addCleanup(run.close)
-        found = run.call("GET", "/page/x")
-        self.assertEqual(found.status, 503)
-        self.assertLess(float(found.headers["retry-after"]), 1.0)
+        response = run.call("GET", "/page/x")
+        self.assertEqual(response.status, 503)
+        self.assertLess(float(response.headers["retry-after"]), 1.0)
 
     def test_unknown_routes_and_keys_are_refused(self):
         run = self.start(answer())
@@ -220,9 +222,9 @@
         # A starting instance has no credit; it accrues at the allowance's rate.
         time.sleep(small.burst / small.rate)
         self.assertEqual(run.call("GET", "/page/x").status, 200)
-        found = run.call("GET", "/page/x")
-        self.assertEqual(found.status, 429)
-        self.assertGreater(float(found.headers["retry-after"]), 0.0)
+        response = run.call("GET", "/page/x")
+        self.assertEqual(response.status, 429)
+        self.assertGreater(float(response.headers["retry-after"]), 0.0)
         self.assertEqual(self.count_received(), [1])
 
     def test_a_request_without_an_upstream_is_refused(self):
@@ -238,8 +240,8 @@
         # The upstream books the note and its answer is lost. If the gateway retried, or
         # reported that the request had not run, the note would be booked twice.
         run = self.start(break_off, break_off)
-        found = run.call("POST", "/note/x", b"n")
-        self.assertEqual(found.status, 502)
+        response = run.call("POST", "/note/x", b"n")
+        self.assertEqual(response.status, 502)
         self.assertEqual(sum(self.count_received()), 1)
 
     def test_a_request_refused_as_not_run_is_retried_elsewhere(self):
@@ -248,9 +250,9 @@
 
     def test_a_request_refused_by_all_upstreams_is_reported_as_not_run(self):
         run = self.start(refuse_not_run, refuse_not_run)
-        found = run.call("POST", "/note/x", b"n")
-        self.assertEqual(found.status, 503)
-        self.assertIn("retry-after", found.headers)
+        response = run.call("POST", "/note/x", b"n")
+        self.assertEqual(response.status, 503)
+        self.assertIn("retry-after", response.headers)
 
     def test_an_unreachable_upstream_is_replaced_by_another(self):
         run = self.start(answer())
@@ -263,9 +265,9 @@
         # status that leaves open whether the note has run, its caller may not retry it.
         run = self.start()
         run.gateway.put_upstream(run.register("gone", 1))
-        found = run.call("POST", "/note/x", b"n")
-        self.assertEqual(found.status, 503)
-        self.assertIn("retry-after", found.headers)
+        response = run.call("POST", "/note/x", b"n")
+        self.assertEqual(response.status, 503)
+        self.assertIn("retry-after", response.headers)
 
     def test_unreachable_upstreams_do_not_count_as_attempts(self):
         # The route allows one attempt; two of the three upstreams are unreachable.
@@ -281,8 +283,8 @@
             conn.sendall(SIGNED + b"Content-Length: 9\r\n\r\nhalf")
             close_after_sent(conn)
 
-        def check(found):
-            self.assertEqual(found.body, b"the whole")
+        def check(response):
+            self.assertEqual(response.body, b"the whole")
 
         self.start(truncate, answer(b"the whole"))
         self.call_until_received(0, "GET", "/page/x", check=check)
@@ -296,8 +298,8 @@
 
     def test_an_error_of_the_upstream_is_relayed_unchanged(self):
         run = self.start(answer(b"broken", b"500 Oops"), answer(b"broken", b"500 Oops"))
-        found = run.call("GET", "/page/x")
-        self.assertEqual((found.status, found.body), (500, b"broken"))
+        response = run.call("GET", "/page/x")
+        self.assertEqual((response.status, response.body), (500, b"broken"))
         self.assertEqual(self.count_received(), [1, 1])
 
     def test_an_answer_to_an_earlier_request_is_discarded(self):
@@ -313,10 +315,10 @@
         run = self.start(answer_twice)
         with Caller(run.port) as caller:
             for name in ("r1", "r2", "r3"):
-                found = run.send(
+                response = run.send(
                     caller, "GET", f"/page/{name}", headers={"X-Request-Id": name}
                 )
-                self.assertEqual(found.body, name.encode())
+                self.assertEqual(response.body, name.encode())
 
     def test_a_request_past_its_routes_time_limit_is_answered_with_504(self):
         hold = threading.Event()
@@ -369,8 +371,8 @@
             conn.sendall(EVENTS + make_event(1))
             close_after_sent(conn)
 
-        found = self.start(script, script).call("POST", "/chat/x")
-        self.assertFalse(found.whole)
+        response = self.start(script, script).call("POST", "/chat/x")
+        self.assertFalse(response.whole)
         self.assertEqual(sum(self.count_received()), 1)
 
     def test_a_stream_is_resumed_elsewhere_after_the_last_complete_event(self):
@@ -388,10 +390,10 @@
             conn.sendall(EVENTS + pieces + b"0\r\n\r\n")
 
         run = self.start_with_second_closed(failing, resuming)
-        found = run.call("POST", "/quote/x")
-        self.assertTrue(found.whole)
+        response = run.call("POST", "/quote/x")
+        self.assertTrue(response.whole)
         pieces = [b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, 5)]
-        self.assertEqual(found.body, b"".join(pieces))
+        self.assertEqual(response.body, b"".join(pieces))
         self.assertEqual(self.count_received(), [1, 1])
 
     def test_an_error_body_is_never_inserted_into_a_stream(self):
@@ -403,9 +405,9 @@
             close_after_sent(conn)
 
         run = self.start_with_second_closed(failing, answer(b"broken", b"500 Oops"))
-        found = run.call("POST", "/quote/x")
-        self.assertEqual(found.body, b"id: 1\ndata: piece 1\n\n")
-        self.assertFalse(found.whole)
+        response = run.call("POST", "/quote/x")
+        self.assertEqual(response.body, b"id: 1\ndata: piece 1\n\n")
+        self.assertFalse(response.whole)
         self.assertEqual(self.count_received(), [1, 1])
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -133,7 +133,7 @@
     def list_calls(self, path):
         """Return (holder, fence, body) of each API call with this path."""
         calls = self.platform.record()["calls"]
-        return [tuple(rest) for found, *rest in calls if found == path]
+        return [tuple(rest) for called, *rest in calls if called == path]
 
 
 class TestConfiguration(PlatformCase):
@@ -316,7 +316,7 @@
         poll(lambda: self.count_reported() == 10, 30)
         self.assertIsNone(first.popen.poll())
 
-    def test_a_resumed_holder_sends_no_accepted_call_with_an_old_fence(self):
+    def test_fences_never_decrease_after_a_frozen_holder_resumes(self):
         first = self.start("one")
         poll(lambda: self.list_calls("/usage"), 20)
         self.start("two")
@@ -346,9 +346,9 @@
     def test_metrics_are_served_on_their_own_address(self):
         gateway = self.start("one", metrics_listen=f"{HOST}:0")
         self.call(gateway)
-        found = call(gateway.info["metrics_port"], "GET", "/-/metrics")
-        self.assertEqual(found.status, 200)
-        text = found.body.decode()
+        response = call(gateway.info["metrics_port"], "GET", "/-/metrics")
+        self.assertEqual(response.status, 200)
+        text = response.body.decode()
         self.assertIn('chervilwing_requests_total{customer="insurer"', text)
         self.assertIn("chervilwing_gateway_configuration_version 3", text)
 
