--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -41,7 +41,7 @@
             deaf=False,
             refuse_orders=False,
         )
-        self.switches.react = self.wake
+        self.switches.react = self.notify_watches
         self.items = {}
         self.history = []
         self.compacted_revision = 0
@@ -53,7 +53,7 @@
         self.calls = []
         self.fences = {}
 
-    async def wake(self):
+    async def notify_watches(self):
         """Make every watch check for events again."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -78,7 +78,7 @@
             self.put(put["key"], put["value"], put.get("lease", 0))
         for key in deletes:
             self.delete(key)
-        await self.wake()
+        await self.notify_watches()
 
     async def end_leases(self):
         """End the expired leases and delete the items attached to them."""
@@ -205,7 +205,7 @@
     """Drop the event history and close the watches."""
     state.compacted_revision = state.revision
     state.history.clear()
-    await state.wake()
+    await state.notify_watches()
     return reply({})
 
 
--- a/tests/fakes/relay.py
+++ b/tests/fakes/relay.py
@@ -25,7 +25,7 @@
         )
         self.links = []
         self.server = None
-        self.flowing = asyncio.Event()
+        self.released = asyncio.Event()
         # Bound but not listening: reserves the port while the listener is closed.
         self.reserved_sock = bind(options.port)
         self.port = self.reserved_sock.getsockname()[1]
@@ -89,7 +89,7 @@
         while True:
             due, data = await queue.get()
             await asyncio.sleep(max(0, due - loop.time()))
-            await network.flowing.wait()
+            await network.released.wait()
             if link.silent:
                 continue
             if not data:
@@ -108,7 +108,7 @@
     link = Link(writer)
     network.links.append(link)
     try:
-        await network.flowing.wait()
+        await network.released.wait()
         target_reader, target_writer = await asyncio.open_connection(*network.target)
         link.writers.append(target_writer)
         # The network was cut after the caller was accepted; the connection must not
@@ -119,7 +119,7 @@
             tasks.create_task(relay_bytes(network, link, reader, target_writer, 0))
             tasks.create_task(relay_bytes(network, link, target_reader, writer, 1))
     except* OSError:
-        await network.flowing.wait()
+        await network.released.wait()
         reset(link)
     finally:
         link.open = False
@@ -155,7 +155,7 @@
     async def react():
         if network.switches["silent"]:
             silence(network)
-        (network.flowing.clear if network.switches["hold"] else network.flowing.set)()
+        (network.released.clear if network.switches["hold"] else network.released.set)()
         if network.switches["cut"] == network.server.is_serving():
             await (cut if network.switches["cut"] else start)(network)
 
--- a/tests/resuming.py
+++ b/tests/resuming.py
@@ -54,14 +54,16 @@
             headers["Last-Event-ID"] = self.last
         self.caller = Caller(port, timeout=30.0)
         self.caller.request("POST", PATH, body | {"stream": self.stream}, headers)
-        threading.Thread(target=self.run, args=(self.caller,), daemon=True).start()
+        threading.Thread(
+            target=self.read_answer, args=(self.caller,), daemon=True
+        ).start()
 
     def drop(self):
         """Shut the connection down."""
         with suppress(OSError):
             self.caller.sock.shutdown(socket.SHUT_RDWR)
 
-    def run(self, caller):
+    def read_answer(self, caller):
         """Read the answer on one connection to its end."""
         with suppress(OSError, EOFError, ValueError):
             self.status, headers = caller.read_head()
@@ -125,7 +127,7 @@
 
 
 def reconnect_as_other(play, name, entry, repeat=False):
-    """Send the same request as another customer."""
+    """Send the same request with another customer's key."""
     reader = play.readers[name].copy(OTHER, repeat)
     play.readers[f"other-{name}"] = reader
     reader.connect(play.entries[entry].port)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -157,8 +157,8 @@
     def test_the_upstream_receives_the_remaining_time(self):
         run = self.start(answer())
         run.call("GET", "/page/x", X_Deadline_Ms="1500")
-        left = int(run.upstreams[0].heads[0][1]["x-deadline-ms"])
-        self.assertTrue(1000 < left <= 1500, left)
+        remaining = int(run.upstreams[0].heads[0][1]["x-deadline-ms"])
+        self.assertTrue(1000 < remaining <= 1500, remaining)
 
     def test_an_answer_without_a_length_ends_with_its_connection(self):
         def script(conn, method, path, body):
@@ -189,8 +189,8 @@
 
     def test_an_instance_keeps_fewer_idle_connections_in_a_larger_fleet(self):
         traits = PoolTraits("web", connections=470)
-        for instances, most in ((7, 8), (68, 2), (320, 1)):
-            self.assertEqual(compute_idle_limit(traits, instances), most)
+        for instances, expected in ((7, 8), (68, 2), (320, 1)):
+            self.assertEqual(compute_idle_limit(traits, instances), expected)
 
 
 class TestRefusals(GatewayCase):
@@ -321,17 +321,17 @@
                 self.assertEqual(response.body, name.encode())
 
     def test_a_request_past_its_routes_time_limit_is_answered_with_504(self):
-        hold = threading.Event()
-        self.addCleanup(hold.set)
-        run = self.start(lambda *args: hold.wait(9))
+        release = threading.Event()
+        self.addCleanup(release.set)
+        run = self.start(lambda *args: release.wait(9))
         self.assertEqual(run.call("GET", "/short/x").status, 504)
 
     def test_a_callers_disconnect_cancels_its_request(self):
-        gone = threading.Event()
+        disconnected = threading.Event()
 
         def run_until_disconnect(conn, method, path, body):
             if not conn.recv(1):
-                gone.set()
+                disconnected.set()
 
         run = self.start(run_until_disconnect)
         with Caller(run.port) as caller:
@@ -340,17 +340,17 @@
                 b"Authorization: Bearer k1\r\n\r\n"
             )
             poll(lambda: run.upstreams[0].seen)
-        self.assertTrue(gone.wait(5))
+        self.assertTrue(disconnected.wait(5))
 
 
 class TestStreams(GatewayCase):
     def test_events_are_relayed_without_delay(self):
-        hold = threading.Event()
-        self.addCleanup(hold.set)
+        release = threading.Event()
+        self.addCleanup(release.set)
 
         def script(conn, method, path, body):
             conn.sendall(EVENTS + make_event(1))
-            hold.wait(5)
+            release.wait(5)
             conn.sendall(make_event(2) + b"0\r\n\r\n")
 
         run = self.start(script)
@@ -361,7 +361,7 @@
             )
             self.assertEqual(caller.read_head()[0], 200)
             self.assertIn(b"piece 1", caller.read_chunk())
-            hold.set()
+            release.set()
             self.assertIn(b"piece 2", caller.read_chunk())
             self.assertEqual(caller.read_chunk(), b"")
         self.assertEqual(run.usage, ["insurer"])
@@ -445,9 +445,9 @@
         self.assertEqual(run.call("GET", "/page/x").status, 200)
         port = run.upstreams[0].port
         pool = run.gateway.pools["web"]
-        before = pool.stations["u0"]
+        old_state = pool.stations["u0"]
         run.gateway.put_upstream(run.register("u0", port, started_at=9.0))
-        self.assertIsNot(pool.stations["u0"], before)
+        self.assertIsNot(pool.stations["u0"], old_state)
         self.assertEqual(run.call("POST", "/note/x").status, 200)
         self.assertEqual(len(run.upstreams[0].conns), 2)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -21,7 +21,7 @@
         port = server.sockets[0].getsockname()[1]
         network = relay.Network(Namespace(to=f"{HOST}:{port}", port=0))
         self.addCleanup(network.reserved_sock.close)
-        network.flowing.set()
+        network.released.set()
         network.switches.values["cut"] = True
         # The accepting side of a connection whose task starts after the cut.
         accepted = asyncio.get_running_loop().create_future()
