--- a/src/chervilwing/balancing.py
+++ b/src/chervilwing/balancing.py
@@ -1,8 +1,9 @@
-"""Which upstream of a pool takes a request: the one that is expected to start it first.
+"""Choose the upstream of a pool that is expected to answer a request first.
 
-Load reports are old when they come and every instance reads the same ones, so that all
-would pick the same upstream. Here each instance adds up what it has sent itself and
-what the others said a moment ago that they have in flight.
+Load reports from the upstreams themselves would arrive late and be the same for every
+instance, so that all instances would pick the same upstream. Instead each instance adds
+up the requests it has in flight itself and those that the other instances last
+reported.
 """
 
 from heapq import nlargest
@@ -13,89 +14,98 @@
 from .hashing import Ring
 from .prompt_caches import PromptCaches
 from .service_times import ServiceTime
-from .stations import NOTHING, READ_WAIT, Sent, Station
-
-# Tokens a second that an engine reads of prompts beside the tokens it generates, before
-# anything was measured; what is measured replaces it within some twenty answers.
-PREFILL_RATE = 34_000.0
-SLOWEST_RATE = 4_000.0
-FASTEST_RATE = 200_000.0
-# Requests at an engine up to which an answer tells how fast the engine is itself.
-ALONE = 6
-# Prompts shorter than this say nothing about the rate: one step dominates.
-MEASURED_TOKENS = 1500
-# Seconds from the arrival at an idle engine to its first token, and for each request
-# that it generates for.
-FIRST_STEP = 0.015
-STEP_PER_REQUEST = 0.0006
+from .stations import NOTHING, READ_REPORT_TIMEOUT, SentRequest, Station
+
+# Prompt tokens per second that an engine reads while it also generates; the value used
+# until about twenty answers have been measured.
+INITIAL_PREFILL_RATE = 34_000.0
+MIN_PREFILL_RATE = 4_000.0
+MAX_PREFILL_RATE = 200_000.0
+# An engine with fewer requests than this and no waiting prompt is lightly loaded: its
+# answer times show the engine's own speed.
+LIGHT_LOAD_REQUESTS = 6
+# Prompt tokens below which an answer isn't used to measure the rate: the time of a
+# single engine step dominates.
+MIN_MEASURED_TOKENS = 1500
+# Seconds from a request's arrival at an idle engine to the first token, and seconds
+# added for each request that the engine is already running.
+FIRST_TOKEN_TIME = 0.015
+FIRST_TOKEN_TIME_PER_REQUEST = 0.0006
 # Engine seconds of one generated token in a full batch.
 TOKEN_TIME = 0.000115
-# Seconds of expected wait that a failure rate of 1 counts for: about as long as a
-# caller loses by an attempt that fails and is made once more.
+# Seconds added to the expected wait for a failure rate of 1: about the time that a
+# caller loses when an attempt fails and is retried.
 FAILURE_COST = 3.0
-# Seconds that another data centre counts for: bytes between them are paid for, and a
-# round trip takes 3 ms. It only decides between equals.
-FAR_COST = 0.008
-# Weight of what others have waiting at one upstream, against the mean of all. Load:
-# many instances that decide alone, by figures of each other that are older than a
-# prompt takes to be read. Harm: taken as it stands, what looked idle is chosen by all
-# of them until the next figures come. What waits changes in a moment; memory and
-# requests in flight last longer and count in full.
-OTHERS_WEIGHT = 0.25
-# Spread of the estimate, so that instances that know the same choose differently.
-SPREAD = 0.15
-# An engine is full at this part of its memory: what is generated needs room too.
-MEMORY_PART = 0.9
-# Part of a pool's shortest latency target for which prompts may wait before they are
-# read: the rest is for the reading itself. Seconds for which they may in any case.
-QUEUE_PART = 0.8
-LEAST_QUEUE = 0.1
-# Fewest tokens that are fetched from another engine: 512 are read in 11 to 20 ms, and a
-# fetch takes some 6 ms and its place on the links.
-FETCHED_TOKENS = 512
-# Seconds until a fetch begins: 4 ms at the engines, and a round trip.
-FETCH_SETUP = 0.006
+# Seconds added for an upstream in another data centre: traffic between data centres is
+# billed and a round trip takes 3 ms. Small enough to decide only between equal
+# upstreams.
+REMOTE_COST = 0.008
+# Weight of the prompt tokens that other instances have waiting at one upstream; the
+# rest of the weight goes to the mean of all upstreams. The reports are older than a
+# prompt takes to be read: at full weight, all instances would send to the upstream that
+# looked idle until the next reports arrive. Memory and requests in flight change more
+# slowly and count in full.
+PEER_PREFILL_WEIGHT = 0.25
+# Largest random increase of an estimate, as a fraction, so that instances with the same
+# information choose different upstreams.
+ESTIMATE_JITTER = 0.15
+# Fraction of an engine's KV memory from which it counts as full; generated tokens need
+# the rest.
+USABLE_MEMORY_FRACTION = 0.9
+# Fraction of a pool's shortest latency target that a prompt may wait before it is read;
+# the rest is for reading it. The second value is the wait in seconds that is always
+# allowed.
+MAX_QUEUE_FRACTION = 0.8
+MIN_QUEUE_LIMIT = 0.1
+# Fewest tokens worth fetching from another engine: an engine reads 512 tokens in 11 to
+# 20 ms, while a fetch takes about 6 ms and uses the links.
+MIN_FETCHED_TOKENS = 512
+# Seconds until a fetch begins: 4 ms at the engines plus a round trip.
+FETCH_SETUP_TIME = 0.006
 
 
 class Estimate(NamedTuple):
-    """Seconds until the first byte, and prompt tokens that must be read for it.
-
-    ``source`` is the upstream from which it fetches what it lacks, None for none.
-    ``ahead`` are the prompt tokens that are read before, and ``alone`` tells that the
-    upstream has little else to do. ``placer`` is as in Sent. ``charged`` tells that
-    whoever chose the upstream has spent the credit for its limit.
+    """Estimate of a request at one upstream, in seconds until the first byte.
+
+    ``prefill`` is the number of prompt tokens that the upstream has to read for it, and
+    ``queued_tokens`` those of other requests that it reads before. ``source`` is the
+    upstream from which it fetches cached tokens, or None. ``lightly_loaded`` is true if
+    the upstream has little other work. ``placer`` is as in SentRequest. ``charged`` is
+    true if the process that chose the upstream has already charged the request to the
+    upstream's limit.
     """
 
     seconds: float
     prefill: int
     source: Station | None = None
-    ahead: int = 0
-    alone: bool = False
+    queued_tokens: int = 0
+    lightly_loaded: bool = False
     placer: str = ""
     charged: bool = False
 
 
-class Copies(NamedTuple):
-    """The leading tokens of a prompt that upstreams are believed to have, by name.
+class CachedPrefixes(NamedTuple):
+    """Leading prompt tokens that each upstream probably has in its KV cache.
 
-    ``most`` are the two that have most, the first one first: whichever upstream lacks
-    some of the prompt, one of them is the best other one to fetch it from.
+    ``tokens`` maps upstream names to token counts. ``largest`` names the two upstreams
+    with the highest counts, highest first: for any upstream, one of the two is the best
+    other upstream to fetch from.
     """
 
     tokens: dict[str, int]
-    most: tuple[str, ...]
+    largest: tuple[str, ...]
 
 
-NO_COPIES = Copies({}, ())
+NO_CACHED_PREFIXES = CachedPrefixes({}, ())
 NO_LOADS = MappingProxyType({})
 
 
 class Origin(NamedTuple):
-    """From where a request is sent, and who chooses its upstream.
+    """Where a request is sent from, and which process chooses its upstream.
 
     ``centre`` is the data centre of the instance that will send the request.
-    ``placer`` names this process where it chooses for all instances, and so knows what
-    it placed; an empty text where it chooses for itself.
+    ``placer`` is the name of this process if it chooses for all instances, and so knows
+    what it has placed; it is empty if the process chooses for itself only.
     """
 
     centre: str
@@ -103,72 +113,76 @@
 
 
 class PoolBalance:
-    """State of one pool: its stations and what its upstreams were measured to do."""
+    """State of one pool: its upstreams' loads and their measured speed."""
 
     def __init__(self, traits, data_centre, rng):
         self.traits = traits
         self.stations = {}
         self.caches = PromptCaches()
-        self.rate = PREFILL_RATE
-        # The same, of engines that have little else to do.
-        self.lone_rate = PREFILL_RATE
+        self.rate = INITIAL_PREFILL_RATE
+        # The prefill rate of lightly loaded engines.
+        self.light_load_rate = INITIAL_PREFILL_RATE
         self.service_time = ServiceTime()
-        # Engine seconds of all that was asked for, here and at each other instance.
+        # Engine seconds of work requested by callers, here and at each other instance.
         self.work = 0.0
         self.peers_work = {}
-        self._alone = Origin(data_centre)
+        self._own_origin = Origin(data_centre)
         self._rng = rng
-        # Made when it is asked for. Load: hundreds of upstreams register at once. Harm:
-        # made anew for each, it would take half a minute of the processor.
+        # Built on first use: hundreds of upstreams register at once, and rebuilding the
+        # ring for each of them would take half a minute of CPU time.
         self._ring = None
 
     def put(self, registration):
-        """Take a new or changed upstream."""
-        known = self.stations.get(registration.name)
-        if known is not None:
-            known.registration = registration
+        """Add an upstream, or update its registration."""
+        existing = self.stations.get(registration.name)
+        if existing is not None:
+            existing.registration = registration
             return
         self.stations[registration.name] = Station(registration)
         self._ring = None
 
-    def hear(self, others, until, unplaced=NO_LOADS):
-        """Take what all other instances had in flight a moment ago, by upstream.
+    def hear(self, peer_loads, until, unplaced=NO_LOADS):
+        """Update the loads reported by all other instances, by upstream name.
 
-        ``unplaced`` is the part for which this instance did not choose the upstream.
+        ``unplaced`` is the part of them that this instance did not place. The loads
+        count until the time ``until``.
         """
-        others = self._even_out(others)
-        unplaced = self._even_out(unplaced) if unplaced else unplaced
+        peer_loads = self._smooth_prefill(peer_loads)
+        unplaced = self._smooth_prefill(unplaced) if unplaced else unplaced
         for name, station in self.stations.items():
-            station.hear(others[name], until, unplaced.get(name, NOTHING))
+            station.set_peer_load(peer_loads[name], until, unplaced.get(name, NOTHING))
+
+    def _smooth_prefill(self, loads):
+        """Return the load of each upstream, with prefill tokens moved towards the mean.
 
-    def _even_out(self, loads):
-        """Return the loads of all stations, what waits there nearer to their mean."""
+        See PEER_PREFILL_WEIGHT.
+        """
         found = {name: loads.get(name, NOTHING) for name in self.stations}
         mean = sum(load.prefill for load in found.values()) / max(1, len(found))
         return {
             name: load._replace(
-                prefill=round(mean + OTHERS_WEIGHT * (load.prefill - mean))
+                prefill=round(mean + PEER_PREFILL_WEIGHT * (load.prefill - mean))
             )
             for name, load in found.items()
         }
 
     def learn(self, placements):
-        """Take where other instances have sent long prompts of late."""
+        """Record where other instances recently sent long prompts."""
         if self.traits.engine is not None:
-            known = [item for item in placements if item.upstream in self.stations]
-            self.caches.learn(known, self.traits.engine.memory_tokens)
+            reported = [item for item in placements if item.upstream in self.stations]
+            self.caches.add_reported(reported, self.traits.engine.memory_tokens)
 
     def remove(self, name):
-        """Forget an upstream and return its address, or None."""
+        """Remove an upstream and return its address, or None if it is unknown."""
         station = self.stations.pop(name, None)
         if station is None:
             return None
         self._ring = None
-        self.caches.forget(name)
+        self.caches.remove_upstream(name)
         return station.registration.address
 
     def list_open(self, excluded=()):
-        """Return the stations that may take new work."""
+        """Return the upstreams that accept new requests, except excluded names."""
         return [
             station
             for name, station in self.stations.items()
@@ -176,148 +190,157 @@
         ]
 
     def choose(self, demand, excluded, now, origin=None):
-        """Return the best station and its estimate, or None where there is none.
+        """Return the best upstream and its Estimate, or None if there is none.
 
-        Without an Origin this instance chooses for itself.
+        Without an ``origin`` this instance chooses for itself.
         """
-        able = self.list_open(excluded)
-        if not able:
+        candidates = self.list_open(excluded)
+        if not candidates:
             return None
-        origin = origin or self._alone
+        origin = origin or self._own_origin
         placing = bool(origin.placer)
-        copies = self._find_copies(demand, able, placing)
+        prefixes = self._find_cached_prefixes(demand, candidates, placing)
         ranked = []
-        for station in able:
-            estimate = self.estimate(station, demand, now, copies, placing)
-            weight = self._weigh(station, estimate, origin.centre, now)
-            ranked.append((weight, len(ranked), estimate))
+        for station in candidates:
+            estimate = self.estimate(station, demand, now, prefixes, placing)
+            score = self._score(station, estimate, origin.centre, now)
+            ranked.append((score, len(ranked), estimate))
         _, index, estimate = min(ranked)
-        return able[index], estimate._replace(placer=origin.placer)
+        return candidates[index], estimate._replace(placer=origin.placer)
 
-    def estimate(self, station, demand, now, copies=NO_COPIES, placing=False):
-        """Return when the station is expected to answer, failures left aside.
+    def estimate(
+        self, station, demand, now, prefixes=NO_CACHED_PREFIXES, placing=False
+    ):
+        """Return the Estimate of a request at an upstream, ignoring failure rates.
 
-        ``copies`` are what the upstreams are believed to have of the prompt.
+        ``prefixes`` holds the prompt tokens that each upstream probably has cached.
         """
         load = station.count(now, placing)
         if self.traits.engine is None:
             slots = max(1, station.registration.slots)
             turns = (load.requests + 1) / slots
-            seconds = self.service_time.measure(now) * max(1.0, turns)
+            seconds = self.service_time.estimate(now) * max(1.0, turns)
             return Estimate(seconds, 0)
-        cached, fetched, source = self._plan_fetch(station, copies)
+        cached, fetched, source = self._plan_fetch(station, prefixes)
         prefill = max(0, demand.prompt_tokens - cached - fetched)
         seconds = (load.prefill + prefill) / self.rate
-        seconds += FIRST_STEP + STEP_PER_REQUEST * load.requests
+        seconds += FIRST_TOKEN_TIME + FIRST_TOKEN_TIME_PER_REQUEST * load.requests
         if source is not None:
-            seconds += self._measure_fetch(fetched)
+            seconds += self._estimate_fetch_time(fetched)
         if self._is_full(load, demand):
-            seconds += self._wait_for_room(load)
-        alone = not load.prefill and load.requests < ALONE
-        return Estimate(seconds, prefill, source, load.prefill, alone)
+            seconds += self._estimate_slot_wait(load)
+        lightly_loaded = not load.prefill and load.requests < LIGHT_LOAD_REQUESTS
+        return Estimate(seconds, prefill, source, load.prefill, lightly_loaded)
 
     def is_crowded(self, estimate, shortest):
-        """Tell whether whatever is let in now would make all of the pool start late.
-
-        ``shortest`` is the shortest latency target of its routes, in seconds. Load:
-        engines that are asked for more than they can do, for seconds. Harm: each prompt
-        waits for all before it, up to its deadline; all begin late, and the engines
-        work for nothing. So no queue grows beyond what that target bears. It is the
-        same for all kinds and sizes: a longer one for some would leave no room to the
-        others. Where nobody placed for all, queues aren't known well enough.
+        """Return whether the queue is too long to meet the shortest latency target.
+
+        ``shortest`` is the shortest latency target of the pool's routes, in seconds.
+        Under an overload of several seconds, each prompt would wait for all before it,
+        all answers would start late and the engines' work would be wasted; so no queue
+        may grow beyond what that target allows. The bound is the same for requests of
+        all kinds and sizes: a longer queue for some would leave no room for the rest.
+        Returns False if the request was not placed by a placer, as the queue lengths
+        are not known well enough then.
         """
         if self.traits.engine is None or not estimate.placer:
             return False
-        most = max(LEAST_QUEUE, shortest * QUEUE_PART)
-        return estimate.ahead / self.rate > most
+        limit = max(MIN_QUEUE_LIMIT, shortest * MAX_QUEUE_FRACTION)
+        return estimate.queued_tokens / self.rate > limit
 
-    def _plan_fetch(self, station, copies):
-        """Return the tokens that a station has, those it may fetch, and from where."""
+    def _plan_fetch(self, station, prefixes):
+        """Return the tokens that an upstream has cached, may fetch, and the source."""
         name = station.registration.name
-        cached = copies.tokens.get(name, 0)
-        best = next((other for other in copies.most if other != name), None)
+        cached = prefixes.tokens.get(name, 0)
+        best = next((other for other in prefixes.largest if other != name), None)
         if not self.traits.engine.link_rate or best is None:
             return cached, 0, None
-        lacking = copies.tokens[best] - cached
-        if lacking < FETCHED_TOKENS:
+        missing = prefixes.tokens[best] - cached
+        if missing < MIN_FETCHED_TOKENS:
             return cached, 0, None
-        return cached, lacking, self.stations[best]
+        return cached, missing, self.stations[best]
 
-    def _measure_fetch(self, tokens):
+    def _estimate_fetch_time(self, tokens):
         engine = self.traits.engine
-        return FETCH_SETUP + tokens * engine.token_bytes * 8 / engine.link_rate
+        return FETCH_SETUP_TIME + tokens * engine.token_bytes * 8 / engine.link_rate
 
     def _is_full(self, load, demand):
-        room = self.traits.engine.memory_tokens * MEMORY_PART
+        capacity = self.traits.engine.memory_tokens * USABLE_MEMORY_FRACTION
         tokens = load.tokens + demand.prompt_tokens + demand.output_tokens
-        return load.requests >= self.traits.engine.slots or tokens > room
+        return load.requests >= self.traits.engine.slots or tokens > capacity
 
-    def _wait_for_room(self, load):
-        """Return seconds until one of the running requests has ended, roughly."""
+    def _estimate_slot_wait(self, load):
+        """Return roughly the seconds until one of the running requests ends."""
         return 1.0 + load.requests / self.traits.engine.slots
 
-    def _weigh(self, station, estimate, centre, now):
-        far = station.registration.data_centre != centre
-        seconds = estimate.seconds * self._rng.uniform(1.0, 1.0 + SPREAD)
-        seconds += station.measure_failures(now) * FAILURE_COST
-        return seconds + (FAR_COST if far else 0.0)
+    def _score(self, station, estimate, centre, now):
+        remote = station.registration.data_centre != centre
+        seconds = estimate.seconds * self._rng.uniform(1.0, 1.0 + ESTIMATE_JITTER)
+        seconds += station.get_failure_rate(now) * FAILURE_COST
+        return seconds + (REMOTE_COST if remote else 0.0)
 
-    def _find_copies(self, demand, able, placing=False):
-        """Return the Copies of a prompt's shared parts.
+    def _find_cached_prefixes(self, demand, candidates, placing=False):
+        """Return the CachedPrefixes of a prompt's shared parts.
 
-        Where nobody is known to have a subject, its own upstream on the ring is taken
-        to: other instances may have sent it there a moment ago, and do so too. One that
-        is placing for all knows where they have.
+        If no upstream is known to have all of the shared parts, the subject's upstream
+        on the hash ring is assumed to have them: other instances use the same ring and
+        may just have sent the subject there. A process that is placing for all
+        instances knows where it sent them and assumes nothing.
         """
         if self.traits.engine is None or len(demand.parts) < 2:
-            return NO_COPIES
+            return NO_CACHED_PREFIXES
         shared = demand.parts[:-1]
-        counted = ((name, self.caches.count(name, shared)) for name in self.stations)
+        counted = (
+            (name, self.caches.count_cached(name, shared)) for name in self.stations
+        )
         tokens = {name: count for name, count in counted if count}
         total = sum(part.tokens for part in shared)
         if not placing and total not in tokens.values():
-            for owner in self._find_owner(demand, able):
+            for owner in self._find_ring_owner(demand, candidates):
                 tokens[owner] = total
-        return Copies(tokens, tuple(nlargest(2, tokens, key=tokens.get)))
+        return CachedPrefixes(tokens, tuple(nlargest(2, tokens, key=tokens.get)))
 
-    def _find_owner(self, demand, able):
-        """Return the name of the subject's own upstream on the ring, one at most."""
-        names = {station.registration.name for station in able}
+    def _find_ring_owner(self, demand, candidates):
+        """Return the subject's upstream on the hash ring, as a list of at most one."""
+        names = {station.registration.name for station in candidates}
         if self._ring is None:
             self._ring = Ring(self.stations)
         return self._ring.find(demand.subject, 1, names)
 
     def ask(self, demand, estimate):
-        """Count the work that a caller asks for, once, whatever becomes of it.
+        """Add a request's work to the total, once, whatever its outcome.
 
-        Guard: engines that are overloaded seem slow, and those that refuse are asked
-        twice. Counted in their time of now, or at each attempt, the work would look
-        larger the fewer engines there are, and orders follow it up without an end.
+        The work is counted at the speed of lightly loaded engines and not per attempt.
+        Overloaded engines seem slow, and refused requests are sent twice; with their
+        current speed, or counted at each attempt, the work would look larger the fewer
+        engines there are, and ever more instances would be ordered.
         """
-        self.work += estimate.prefill / self.lone_rate
+        self.work += estimate.prefill / self.light_load_rate
         self.work += demand.expected_tokens * TOKEN_TIME
 
     def send(self, station, demand, estimate, now):
-        """Take note that the request goes to the station."""
+        """Record that this instance sends a request to an upstream."""
         sent = make_sent(demand, estimate, now)
         station.ledger.add(demand.request_id, sent)
-        self._note_prompt(station, demand, now)
+        self._record_prompt(station, demand, now)
 
     def place(self, key, demand, found, now):
-        """Take note that another instance was told to send a request to a station.
+        """Record that an upstream was chosen for another instance's request.
 
-        ``key`` tells the request from those of all other instances.
+        ``key`` identifies the request among those of all other instances. ``found`` is
+        the pair of upstream and Estimate.
         """
         station, estimate = found
         sent = make_sent(demand, estimate, now)._replace(
-            read_by=now + 2 * estimate.seconds + READ_WAIT, over_by=demand.deadline
+            assumed_read_at=now + 2 * estimate.seconds + READ_REPORT_TIMEOUT,
+            assumed_ended_at=demand.deadline,
         )
         station.placed.add(key, sent)
-        self._note_prompt(station, demand, now)
+        self._record_prompt(station, demand, now)
 
-    def _note_prompt(self, station, demand, now):
+    def _record_prompt(self, station, demand, now):
         if self.traits.engine is not None:
-            self.caches.note(
+            self.caches.record(
                 station.registration.name,
                 demand.parts[:-1],
                 self.traits.engine.memory_tokens,
@@ -325,53 +348,65 @@
             )
 
     def start(self, station, demand, now):
-        """Take note of the first byte of the answer; tell whether it is news."""
+        """Record an answer's first byte; return whether it is the first such call."""
         return self._measure(station.ledger.start(demand.request_id), now)
 
     def start_placed(self, station, key, now):
-        """Take note of the first byte of an answer to another instance."""
+        """Record the first byte of an answer to another instance's request."""
         return self._measure(station.placed.start(key), now)
 
     def _measure(self, sent, now):
-        """Learn from a prompt that was read, None for one that was before."""
+        """Update the measured speed from a request whose prompt was just read.
+
+        Return False, and change nothing, if ``sent`` is None.
+        """
         if sent is None:
             return False
-        took = now - sent.at
-        tokens = sent.prefill + sent.ahead
+        elapsed = now - sent.at
+        tokens = sent.prefill + sent.queued_tokens
         if self.traits.engine is None:
-            self.service_time.record(took, now)
-        elif tokens >= MEASURED_TOKENS and took > FIRST_STEP:
-            rate = min(FASTEST_RATE, max(SLOWEST_RATE, tokens / (took - FIRST_STEP)))
+            self.service_time.record(elapsed, now)
+        elif tokens >= MIN_MEASURED_TOKENS and elapsed > FIRST_TOKEN_TIME:
+            rate = min(
+                MAX_PREFILL_RATE,
+                max(MIN_PREFILL_RATE, tokens / (elapsed - FIRST_TOKEN_TIME)),
+            )
             self.rate = blend(self.rate, rate)
-            if sent.alone:
-                self.lone_rate = blend(self.lone_rate, rate)
+            if sent.lightly_loaded:
+                self.light_load_rate = blend(self.light_load_rate, rate)
         return True
 
     def end_placed(self, station, key, failed, now):
-        """Take note that another instance's attempt is over."""
+        """Record the end of another instance's attempt.
+
+        ``failed`` is None if the attempt says nothing about the upstream.
+        """
         station.placed.remove(key)
         if failed is not None:
             station.record(failed, now)
 
     def expire_placed(self, now):
-        """Forget what other instances haven't spoken of for too long."""
+        """Expire placed requests that other instances have not reported in time."""
         for station in self.stations.values():
             station.placed.expire(now)
 
     def end(self, station, demand, failed, now):
-        """Take note that the attempt is over."""
+        """Record the end of an attempt of this instance.
+
+        ``failed`` is None if the attempt says nothing about the upstream.
+        """
         station.ledger.remove(demand.request_id)
         if failed is not None:
             station.record(failed, now)
 
 
 def make_sent(demand, estimate, now):
-    """Return what is noted of a request that goes to an upstream."""
-    return Sent(
+    """Return the SentRequest of a request that is sent to an upstream now."""
+    return SentRequest(
         estimate.prefill,
         demand.prompt_tokens + demand.output_tokens,
-        estimate.ahead,
+        estimate.queued_tokens,
         now,
-        estimate.alone,
+        estimate.lightly_loaded,
         placer=estimate.placer,
     )
--- a/src/chervilwing/placers.py
+++ b/src/chervilwing/placers.py
@@ -1,8 +1,8 @@
-"""Which instance chooses the upstreams for all, and what it is asked.
+"""Selection of the placer, the instance that chooses upstreams for all instances.
 
-A prompt is read in less time than instances need to tell each other what they sent.
-Each on its own would choose by figures that are over; one that chooses for all knows
-at once what it placed. docs/design/SHIFTED-WORK.md has the ways weighed.
+An engine reads a prompt in less time than the instances need to exchange their loads,
+so that instances choosing on their own would use outdated loads. A single placer knows
+at once what it has placed. docs/design/SHIFTED-WORK.md compares the alternatives.
 """
 
 from collections.abc import Callable
@@ -10,26 +10,28 @@
 
 from .demands import Demand, PromptPart
 
-# Seconds for an answer. Load: a placer that is cut off or slow. Harm: whoever asks it
-# waits for nothing; a round trip takes 3 ms, and the shortest latency target is 150 ms.
-ANSWER_WAIT = 0.03
-# Asks in a row without an answer after which another instance is asked: one datagram in
-# thirty is lost on a bad link.
-MISSES = 2
+# Seconds to wait for a placer's answer, so that a placer that is cut off or slow delays
+# a request only a little: a round trip takes 3 ms, the shortest latency target is 150
+# ms.
+ANSWER_TIMEOUT = 0.03
+# Consecutive asks without an answer after which another instance is asked: a bad link
+# loses one datagram in thirty.
+MAX_TIMEOUTS = 2
 # Seconds for which an instance that didn't answer isn't asked again.
-AVOIDED_FOR = 3.0
-# Asks a second that one instance answers, within half a core. Load: thousands of
-# requests a second. Harm: answers that come too late for all. Whoever gets none asks
-# the first of its own data centre.
+AVOID_FOR = 3.0
+# Asks per second that one instance answers, which takes half a core. Under thousands of
+# requests per second, an unlimited placer would answer all of them too late. An
+# instance that receives no answer asks the first placer of its own data centre.
 ASKS_PER_SECOND = 1000
 
 
 class Ask(NamedTuple):
-    """What an instance asks of a placer: an upstream of a pool for one request.
+    """Message that asks a placer for an upstream of a pool for one request.
 
-    ``number`` tells it from the asker's others, also those of a process before it at
-    the same address. ``seconds_left`` are until its deadline; ``excluded`` upstreams
-    are left out.
+    ``number`` is unique among the asks of the sender and of earlier processes at its
+    address. ``centre`` is the sender's data centre, ``parts`` are the names and token
+    counts of the prompt's parts, and ``seconds_left`` is the time to the deadline. The
+    upstreams in ``excluded`` must not be chosen.
     """
 
     number: int
@@ -43,7 +45,11 @@
 
 
 class Answer(NamedTuple):
-    """The upstream that a placer chose, an empty text for none; see Estimate."""
+    """Message with the upstream that a placer chose; ``upstream`` is empty for none.
+
+    ``number`` is that of the Ask, ``name`` the placing instance and ``source`` the name
+    of an upstream; the other fields are those of Estimate.
+    """
 
     number: int
     name: str
@@ -52,23 +58,24 @@
     seconds: float = 0.0
     prefill: int = 0
     source: str = ""
-    ahead: int = 0
-    alone: bool = False
+    queued_tokens: int = 0
+    lightly_loaded: bool = False
     charged: bool = False
 
 
 class Ticket(NamedTuple):
-    """By which number which instance knows a request that it placed."""
+    """Identity of a placed request: its Ask's number and the placing instance."""
 
     number: int
     name: str
 
 
 class PlacingHooks(NamedTuple):
-    """What a gateway asks of whoever places, and tells it; by itself it places alone.
+    """Callbacks from the gateway to the placing component; the defaults do nothing.
 
-    ``ask`` tells whether an answer will follow, ``read_origin`` returns the Origin of a
-    choice made here.
+    ``ask`` asks a placer and returns whether it was asked, ``read_origin`` returns the
+    Origin of choices made here, ``note_started`` and ``note_ended`` report a placed
+    request's first byte and end.
     """
 
     ask: Callable = lambda relay, now: False
@@ -78,7 +85,7 @@
 
 
 def make_ask(number, cfg, relay, excluded, now):
-    """Return the Ask for a request that may not go to some upstreams."""
+    """Return the Ask for a request, with the excluded upstreams sorted by name."""
     demand = relay.demand
     return Ask(
         number,
@@ -93,7 +100,7 @@
 
 
 def read_demand(ask, now):
-    """Return what a request asks of an upstream, as its Ask tells it."""
+    """Return the Demand that an Ask describes."""
     parts = tuple(PromptPart(*part) for part in ask.parts)
     return Demand(
         "",
@@ -106,55 +113,57 @@
 
 
 def order_placers(ranked, near):
-    """Return the names in the order in which an instance asks them.
+    """Return the placers' names in the order in which an instance asks them.
 
-    The first of all comes first; who can't reach it asks those of its own data centre,
-    as a data centre is cut off as a whole.
+    ``ranked`` is the common order of all instances, ``near`` the names in the asking
+    instance's data centre. The first of ``ranked`` leads; those in ``near`` follow,
+    since a data centre is usually cut off from the others as a whole.
     """
     first = ranked[:1]
     return list(dict.fromkeys([*first, *(n for n in ranked if n in near), *ranked]))
 
 
-class PlacerChoice:
-    """State of one instance's choice; times are seconds on one clock.
+class PlacerSelector:
+    """State of one instance's choice of a placer; times are seconds on one clock.
 
-    Two instances that both place for others know less of each other's than of their
-    own; nothing else hangs on there being one.
+    Several instances may act as placer at the same time: each then knows the loads that
+    it placed better than those placed by the other, and nothing else depends on there
+    being only one.
     """
 
     def __init__(self):
-        self._misses = {}
-        self._avoided = {}
+        self._timeouts = {}
+        self._avoided_until = {}
 
     def choose(self, names, now):
-        """Return the first of these names that answers, or None."""
-        return next((n for n in names if now >= self._avoided.get(n, 0.0)), None)
+        """Return the first of the names that isn't avoided now, or None."""
+        return next((n for n in names if now >= self._avoided_until.get(n, 0.0)), None)
 
-    def note_answer(self, name):
-        """Take note that an instance answered."""
-        self._misses.pop(name, None)
+    def record_answer(self, name):
+        """Record that an instance answered in time."""
+        self._timeouts.pop(name, None)
 
-    def note_miss(self, name, now):
-        """Take note that an ask had no answer in time."""
-        self._misses[name] = self._misses.get(name, 0) + 1
-        if self._misses[name] >= MISSES:
-            self._avoided[name] = now + AVOIDED_FOR
-            del self._misses[name]
+    def record_timeout(self, name, now):
+        """Record that an instance didn't answer an ask in time."""
+        self._timeouts[name] = self._timeouts.get(name, 0) + 1
+        if self._timeouts[name] >= MAX_TIMEOUTS:
+            self._avoided_until[name] = now + AVOID_FOR
+            del self._timeouts[name]
 
 
-class AskBound:
-    """How many asks may still be answered; see ASKS_PER_SECOND."""
+class AskRateLimit:
+    """Token bucket that limits answered asks to ASKS_PER_SECOND."""
 
     def __init__(self):
-        self._left = 0.0
-        self._at = float("-inf")
-
-    def take(self, now):
-        """Tell whether one more ask may be answered."""
-        gained = min(1.0, now - self._at) * ASKS_PER_SECOND
-        self._at = now
-        self._left = min(ASKS_PER_SECOND / 10, self._left + gained)
-        if self._left < 1.0:
+        self._tokens = 0.0
+        self._refilled_at = float("-inf")
+
+    def allow(self, now):
+        """Return whether one more ask may be answered, and count it if so."""
+        gained = min(1.0, now - self._refilled_at) * ASKS_PER_SECOND
+        self._refilled_at = now
+        self._tokens = min(ASKS_PER_SECOND / 10, self._tokens + gained)
+        if self._tokens < 1.0:
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
--- a/src/chervilwing/placing.py
+++ b/src/chervilwing/placing.py
@@ -1,4 +1,8 @@
-"""Asks for upstreams and their answers, as single datagrams between instances."""
+"""Exchange of placement requests between instances, one datagram per message.
+
+An instance asks the placer for the upstream of a request (ASK), receives its choice
+(ANSWER) and reports when placed requests begin and end (PROGRESS).
+"""
 
 from typing import NamedTuple
 
@@ -9,11 +13,11 @@
 from .fanout import rank
 from .logs import log_event
 from .placers import (
-    ANSWER_WAIT,
+    ANSWER_TIMEOUT,
     Answer,
     Ask,
-    AskBound,
-    PlacerChoice,
+    AskRateLimit,
+    PlacerSelector,
     PlacingHooks,
     Ticket,
     make_ask,
@@ -24,32 +28,32 @@
 from .stations import Station
 from .usage import name_process
 
-# Kinds of datagrams.
+# Kinds of datagrams; see the head of this module.
 ASK = 7
-PLACED = 8
-NOTES = 9
-# Seconds between two looks for placed requests of which nobody speaks any more.
-EXPIRE_EVERY = 1.0
+ANSWER = 8
+PROGRESS = 9
+# Seconds between two checks for placed requests that are no longer reported on.
+EXPIRE_INTERVAL = 1.0
 
 
-class OpenAsk(NamedTuple):
-    """A request for which another instance was asked, and when."""
+class PendingAsk(NamedTuple):
+    """A request that waits for a placer's answer; ``sent_at`` is in seconds."""
 
     relay: Relay
-    name: str
-    at: float
+    placer: str
+    sent_at: float
 
 
 class PlacedRequest(NamedTuple):
-    """Where another instance's request was placed, and until when it may run."""
+    """Where another instance's request was placed, and when its deadline passes."""
 
     pool: PoolBalance
     station: Station
-    over_by: float
+    deadline: float
 
 
 class Placing(BaseComponent):
-    """Ask the placer for upstreams, and choose them for those that ask this one."""
+    """Ask the placer for upstreams, and answer the instances that ask this one."""
 
     channel = "placing"
 
@@ -60,92 +64,96 @@
         self._coordinator = coordinator
         self._gateway = gateway
         self._key = name_process(cfg.name, cfg.incarnation)
-        self._choice = PlacerChoice()
-        self._bound = AskBound()
-        self._names = [cfg.name]
-        self._ranked = None
-        self._target = None
-        # Numbers go on from the time of the start. Guard: an answer to a process that
-        # was here before would pass for one to another request of this one.
-        self._number = cfg.incarnation
-        self._open = {}
-        # Numbers of requests that began and ended, by the instance that placed them.
-        self._notes = {}
-        self._known = {}
-        self._expire_at = 0.0
+        self._selector = PlacerSelector()
+        self._rate_limit = AskRateLimit()
+        self._placer_names = [cfg.name]
+        self._ranked_version = None
+        self._placer = None
+        # Numbers start at the incarnation, so that an answer to an earlier process at
+        # this address can't be taken for the answer to a request of this process.
+        self._last_number = cfg.incarnation
+        self._pending = {}
+        # Requests that began and ended since the last report, by placer: two lists of
+        # pairs, (number, time of the first byte) and (number, failed).
+        self._progress = {}
+        self._placed = {}
+        self._next_expire = 0.0
         gateway.placing = PlacingHooks(
-            self._ask, self._read_origin, self._note_started, self._note_ended
+            self._send_ask,
+            self._read_origin,
+            self._queue_started,
+            self._queue_placed_ended,
         )
-        datagrams.subscribe(ASK, self._answer)
-        datagrams.subscribe(PLACED, self._hear)
-        datagrams.subscribe(NOTES, self._hear_notes)
+        datagrams.subscribe(ASK, self._receive_ask)
+        datagrams.subscribe(ANSWER, self._receive_answer)
+        datagrams.subscribe(PROGRESS, self._receive_progress)
 
     @handler("tick", channel="*")
     def _on_tick(self):
         now = read_boottime()
-        self._rank()
-        self._find_target(now)
-        for number, item in list(self._open.items()):
-            if now - item.at >= ANSWER_WAIT:
-                self._miss(number, item, now)
-        self._send_notes()
-        if now >= self._expire_at:
-            self._expire_at = now + EXPIRE_EVERY
+        self._update_ranking()
+        self._select_placer(now)
+        for number, item in list(self._pending.items()):
+            if now - item.sent_at >= ANSWER_TIMEOUT:
+                self._handle_timeout(number, item, now)
+        self._send_progress()
+        if now >= self._next_expire:
+            self._next_expire = now + EXPIRE_INTERVAL
             self._expire(now)
 
-    def _rank(self):
-        """Rank the instances anew when some came or went."""
-        if self._ranked == self._coordinator.peers_version:
+    def _update_ranking(self):
+        """Update the order of the placers if the known instances have changed."""
+        if self._ranked_version == self._coordinator.peers_version:
             return
-        self._ranked = self._coordinator.peers_version
+        self._ranked_version = self._coordinator.peers_version
         peers = self._coordinator.peers
         near = {n for n, p in peers.items() if p.data_centre == self._cfg.data_centre}
         links = self._coordinator.list_links()
         ranked = rank([self._cfg.name, *peers], links)
-        self._names = order_placers(ranked, near | {self._cfg.name})
+        self._placer_names = order_placers(ranked, near | {self._cfg.name})
 
-    def _find_target(self, now):
-        target = self._choice.choose(self._names, now)
-        if target != self._target:
-            log_event("placer", placer=target or "", was=self._target or "")
-            self._target = target
+    def _select_placer(self, now):
+        target = self._selector.choose(self._placer_names, now)
+        if target != self._placer:
+            log_event("placer", placer=target or "", was=self._placer or "")
+            self._placer = target
         return target
 
-    def _ask(self, relay, now):
-        """Ask for a request's upstream; tell whether another instance was asked."""
-        target = self._find_target(now)
+    def _send_ask(self, relay, now):
+        """Ask the placer for a request's upstream; return whether an ask was sent."""
+        target = self._select_placer(now)
         peer = self._coordinator.peers.get(target)
         if peer is None:
             return False
-        self._number += 1
-        self._open[self._number] = OpenAsk(relay, target, now)
+        self._last_number += 1
+        self._pending[self._last_number] = PendingAsk(relay, target, now)
         excluded = self._gateway.list_excluded(relay, now)
-        ask = make_ask(self._number, self._cfg, relay, excluded, now)
+        ask = make_ask(self._last_number, self._cfg, relay, excluded, now)
         self._datagrams.send(ASK, ask, peer.address)
         return True
 
     def _read_origin(self):
-        """Return the Origin of a choice that this instance makes itself."""
-        places = self._target == self._cfg.name
+        """Return the Origin of the choices that this instance makes."""
+        places = self._placer == self._cfg.name
         return Origin(self._cfg.data_centre, self._key if places else "")
 
-    def _miss(self, number, item, now):
-        """Choose here for a request whose ask wasn't answered."""
-        del self._open[number]
-        self._choice.note_miss(item.name, now)
-        # It may have been placed all the same.
-        self._tell_ended(Ticket(number, item.name))
+    def _handle_timeout(self, number, item, now):
+        """Choose the upstream here after an ask has timed out."""
+        del self._pending[number]
+        self._selector.record_timeout(item.placer, now)
+        # The ask may have arrived, and only its answer been lost.
+        self._queue_ended(Ticket(number, item.placer))
         if not item.relay.over:
             self._gateway.place_alone(item.relay, now)
 
-    def _answer(self, address, *fields):
-        """Choose an upstream for another instance's request."""
+    def _receive_ask(self, address, *fields):
+        """Choose an upstream for another instance's request and send the answer."""
         now = read_boottime()
         ask = Ask(*fields)
         pool = self._gateway.pools.get(ask.pool)
         key = (address, ask.number)
-        # A datagram may come twice; the request was placed by the first one.
-        if pool is None or key in self._known or not self._bound.take(now):
+        # Datagrams may be duplicated; the first copy has placed the request.
+        if pool is None or key in self._placed or not self._rate_limit.allow(now):
             return
         demand = read_demand(ask, now)
         origin = self._read_origin()._replace(centre=ask.centre)
@@ -160,32 +168,36 @@
             name = station.registration.name
             charged = limits.is_limited(name) and limits.charge(name, now)
             pool.place(key, demand, found, now)
-            self._known[key] = PlacedRequest(pool, station, demand.deadline)
-            answer = describe(answer, station, estimate._replace(charged=charged))
-        self._datagrams.send(PLACED, answer, address)
+            self._placed[key] = PlacedRequest(pool, station, demand.deadline)
+            answer = fill_answer(answer, station, estimate._replace(charged=charged))
+        self._datagrams.send(ANSWER, answer, address)
+
+    def _receive_answer(self, address, *fields):
+        """Send a request to the upstream that the placer chose.
 
-    def _hear(self, address, *fields):
-        """Take the answer to an ask; one that comes late is of no use any more."""
+        An answer that arrives after the timeout is ignored.
+        """
         now = read_boottime()
         answer = Answer(*fields)
-        item = self._open.pop(answer.number, None)
+        item = self._pending.pop(answer.number, None)
         if item is None:
             return
-        self._choice.note_answer(answer.name)
+        self._selector.record_answer(answer.name)
         relay, ticket = item.relay, Ticket(answer.number, answer.name)
-        found = None if relay.over else self._read_found(relay, answer, now)
+        found = None if relay.over else self._read_choice(relay, answer, now)
         if found is not None:
             relay.ticket = ticket
             self._gateway.place(relay, found, now)
             return
-        self._tell_ended(ticket)
+        self._queue_ended(ticket)
         if not relay.over:
             self._gateway.place_alone(relay, now)
 
-    def _read_found(self, relay, answer, now):
-        """Return the station and Estimate of an answer, None where it is of no use.
+    def _read_choice(self, relay, answer, now):
+        """Return the upstream and Estimate of an answer, or None if it is unusable.
 
-        What this instance knows of an upstream may be younger than what the placer did.
+        This instance may know of a change to the upstream that the placer had not yet
+        received when it chose.
         """
         station = relay.pool.stations.get(answer.upstream)
         if station is None or station.registration.leaving:
@@ -201,69 +213,71 @@
             answer.seconds,
             answer.prefill,
             source,
-            answer.ahead,
-            answer.alone,
+            answer.queued_tokens,
+            answer.lightly_loaded,
             answer.placer,
             answer.charged,
         )
 
-    def _tell_ended(self, ticket, failed=None):
-        """Tell a placer that a request is over, or doesn't go where it was placed."""
-        _, ended = self._notes.setdefault(ticket.name, ([], []))
+    def _queue_ended(self, ticket, failed=None):
+        """Queue a report that a request has ended or isn't sent where it was placed."""
+        _, ended = self._progress.setdefault(ticket.name, ([], []))
         ended.append((ticket.number, failed))
 
-    def _note_started(self, relay):
+    def _queue_started(self, relay):
         if relay.ticket is not None:
-            started, _ = self._notes.setdefault(relay.ticket.name, ([], []))
+            started, _ = self._progress.setdefault(relay.ticket.name, ([], []))
             started.append((relay.ticket.number, read_boottime()))
 
-    def _note_ended(self, relay, failed):
+    def _queue_placed_ended(self, relay, failed):
         if relay.ticket is not None:
-            self._tell_ended(relay.ticket, failed)
+            self._queue_ended(relay.ticket, failed)
             relay.ticket = None
 
-    def _send_notes(self):
-        notes, self._notes = self._notes, {}
+    def _send_progress(self):
+        progress, self._progress = self._progress, {}
         now = read_boottime()
-        for name, (started, ended) in notes.items():
+        for name, (started, ended) in progress.items():
             peer = self._coordinator.peers.get(name)
             if peer is None:
                 continue
-            # Told as ages, since two machines' clocks have nothing in common.
+            # Sent as ages in seconds, since the machines' clocks are not comparable.
             ages = [(number, now - at) for number, at in started]
-            self._datagrams.send(NOTES, (ages, ended), peer.address)
+            self._datagrams.send(PROGRESS, (ages, ended), peer.address)
 
-    def _hear_notes(self, address, started, ended):
-        """Take which placed requests began and ended."""
+    def _receive_progress(self, address, started, ended):
+        """Record which placed requests of another instance began and ended."""
         now = read_boottime()
         for number, age in started:
             key = (address, number)
-            known = self._known.get(key)
-            if known is not None:
-                known.pool.start_placed(known.station, key, now - age)
+            placed = self._placed.get(key)
+            if placed is not None:
+                placed.pool.start_placed(placed.station, key, now - age)
         for number, failed in ended:
             key = (address, number)
-            known = self._known.pop(key, None)
-            if known is not None:
-                known.pool.end_placed(known.station, key, failed, now)
+            placed = self._placed.pop(key, None)
+            if placed is not None:
+                placed.pool.end_placed(placed.station, key, failed, now)
 
     def _expire(self, now):
         for pool in self._gateway.pools.values():
             pool.expire_placed(now)
-        gone = [key for key, known in self._known.items() if now >= known.over_by]
-        for key in gone:
-            del self._known[key]
+        expired = [
+            key for key, placed in self._placed.items() if now >= placed.deadline
+        ]
+        for key in expired:
+            del self._placed[key]
 
 
-def describe(answer, station, estimate):
-    """Return the answer that names a station."""
+def fill_answer(answer, station, estimate):
+    """Return the answer, filled in with the chosen upstream and its Estimate."""
     source = estimate.source
     return answer._replace(
         upstream=station.registration.name,
         seconds=estimate.seconds,
         prefill=estimate.prefill,
         source=source.registration.name if source else "",
-        ahead=estimate.ahead,
-        alone=estimate.alone,
+        queued_tokens=estimate.queued_tokens,
+        lightly_loaded=estimate.lightly_loaded,
         charged=estimate.charged,
     )
--- a/src/chervilwing/prompt_caches.py
+++ b/src/chervilwing/prompt_caches.py
@@ -1,26 +1,30 @@
-"""Which engine has which parts of prompts in its KV cache, as far as instances know.
+"""Record of which prompt parts are probably in which engine's KV cache.
 
-An instance knows what it has sent itself. It tells the others the long ones of late, so
-that the next request of a subject finds its history by whichever instance it comes.
+An instance records what it has sent itself and reports recent long prompts to the other
+instances, so that each of them can send the next request of the same subject to the
+engine that has its history cached.
 """
 
 from collections import OrderedDict, deque
 from typing import NamedTuple
 
-# Fewest tokens of a prompt that are told. Load: hundreds of requests a second, most of
-# them short. Harm: each costs some 25 bytes in every answer between instances; fewer
-# tokens than these are read in 20 ms.
-TOLD_TOKENS = 1000
-# Seconds for which a send is told: two questions, in each of two groups, and one that
-# is lost.
+# Fewest shared tokens of a prompt that are worth reporting. Most of hundreds of
+# requests per second are short; a report takes about 25 bytes in every answer between
+# instances, while an engine reads fewer tokens than these in 20 ms.
+MIN_REPORTED_TOKENS = 1000
+# Seconds for which a sent prompt is reported: enough for two exchanges in each of two
+# groups and a lost one.
 TOLD_FOR = 1.5
-# Part of an engine's memory that is believed to hold what others may ask for again; the
-# rest are prompts of one request alone, and what is generated.
-KEPT_PART = 0.5
+# Fraction of an engine's memory assumed to hold parts that later requests share; the
+# rest holds the own parts of single requests and generated tokens.
+SHARED_FRACTION = 0.5
 
 
 class Placement(NamedTuple):
-    """A prompt's leading parts, by the last of them, that were sent to an upstream."""
+    """The leading parts of a prompt that was sent to an upstream.
+
+    ``part`` is the name of the last of these parts, ``tokens`` the token count of all.
+    """
 
     upstream: str
     part: str
@@ -28,44 +32,44 @@
 
 
 class PromptCaches:
-    """State of one pool; its methods take ``memory_tokens``, those of one engine."""
+    """Prompt parts by upstream of one pool; ``memory_tokens`` are per engine."""
 
     def __init__(self):
-        self._kept = {}
+        self._parts = {}
         self._sizes = {}
         self._recent = deque()
 
-    def note(self, upstream, parts, memory_tokens, now):
-        """Take note that a prompt with these shared parts was sent to an upstream."""
+    def record(self, upstream, parts, memory_tokens, now):
+        """Record that a prompt with these shared parts was sent to an upstream."""
         for part in parts:
-            self._keep(upstream, part.name, part.tokens, memory_tokens)
+            self._add_part(upstream, part.name, part.tokens, memory_tokens)
         tokens = sum(part.tokens for part in parts)
-        if tokens >= TOLD_TOKENS:
+        if tokens >= MIN_REPORTED_TOKENS:
             self._recent.append((now, Placement(upstream, parts[-1].name, tokens)))
 
-    def learn(self, placements, memory_tokens):
-        """Take what other instances have sent of late; twice is as good as once."""
+    def add_reported(self, placements, memory_tokens):
+        """Record what other instances recently sent; repeated reports are harmless."""
         for placement in placements:
-            self._keep(*placement, memory_tokens)
+            self._add_part(*placement, memory_tokens)
 
-    def forget(self, upstream):
-        """Take note that an upstream is gone, and its memory with it."""
-        self._kept.pop(upstream, None)
+    def remove_upstream(self, upstream):
+        """Remove an upstream that is gone, as its cache is gone too."""
+        self._parts.pop(upstream, None)
         self._sizes.pop(upstream, None)
 
     def list_recent(self, now):
-        """Return the Placements of late, to be told to others."""
+        """Return the recent Placements to report to other instances."""
         while self._recent and now - self._recent[0][0] > TOLD_FOR:
             self._recent.popleft()
         return [placement for _, placement in self._recent]
 
-    def count(self, upstream, parts):
-        """Return how many tokens of the leading ones of these parts an upstream has.
+    def count_cached(self, upstream, parts):
+        """Return how many leading tokens of these parts an upstream has cached.
 
-        A part is only of use with all before it, so that the last one that is there
-        tells of those as well.
+        A cached part is usable only together with all parts before it, so the last part
+        that is recorded implies that those before it are cached too.
         """
-        kept = self._kept.get(upstream, ())
+        kept = self._parts.get(upstream, ())
         tokens = sum(part.tokens for part in parts)
         for part in reversed(parts):
             if part.name in kept:
@@ -73,10 +77,10 @@
             tokens -= part.tokens
         return 0
 
-    def _keep(self, upstream, name, tokens, memory_tokens):
-        kept = self._kept.setdefault(upstream, OrderedDict())
+    def _add_part(self, upstream, name, tokens, memory_tokens):
+        kept = self._parts.setdefault(upstream, OrderedDict())
         size = self._sizes.get(upstream, 0) + tokens - kept.pop(name, 0)
         kept[name] = tokens
-        while size > memory_tokens * KEPT_PART and len(kept) > 1:
+        while size > memory_tokens * SHARED_FRACTION and len(kept) > 1:
             size -= kept.popitem(last=False)[1]
         self._sizes[upstream] = size
--- a/src/chervilwing/service_times.py
+++ b/src/chervilwing/service_times.py
@@ -1,33 +1,33 @@
-"""How long a plain service takes for a call, as one instance has measured it."""
+"""Estimate of how long a service without engines takes to answer a call."""
 
 from .costs import blend
 
-# Seconds that a call takes before anything was measured.
-SERVICE_TIME = 0.05
-# Times the estimate up to which one call counts. Load: an instance that was suspended
-# and finds the answers of all that time. Harm: a few of them would make the estimate
-# longer than any caller waits.
-OUTLIER = 4.0
-# Seconds without a measurement after which half of the estimate is forgotten. Load: an
-# estimate beyond all deadlines. Harm: whatever comes is refused as hopeless, and no
+# Seconds assumed for a call before any measurement.
+INITIAL_SERVICE_TIME = 0.05
+# Highest multiple of the current estimate that one measurement counts for. An instance
+# that was suspended reads all answers of that time late; a few of them would otherwise
+# raise the estimate above every deadline.
+MAX_INCREASE = 4.0
+# Seconds without a measurement in which half of the estimate's distance to the initial
+# value decays. An estimate beyond all deadlines has every call refused, so that no
 # answer would ever correct it.
-FADE_HALF_LIFE = 1.0
+DECAY_HALF_LIFE = 1.0
 
 
 class ServiceTime:
-    """State of one pool's estimate; times are seconds on one clock."""
+    """Estimate of one pool's answer time; times are seconds on one clock."""
 
     def __init__(self):
-        self._seconds = SERVICE_TIME
-        self._at = 0.0
+        self._seconds = INITIAL_SERVICE_TIME
+        self._measured_at = 0.0
 
-    def record(self, took, now):
-        """Take how long a call took until its answer began."""
-        seconds = self.measure(now)
-        self._seconds = blend(seconds, min(took, OUTLIER * seconds))
-        self._at = now
+    def record(self, elapsed, now):
+        """Record the seconds that a call took until its answer began."""
+        seconds = self.estimate(now)
+        self._seconds = blend(seconds, min(elapsed, MAX_INCREASE * seconds))
+        self._measured_at = now
 
-    def measure(self, now):
-        """Return how many seconds a call is expected to take."""
-        kept = 0.5 ** (max(0.0, now - self._at) / FADE_HALF_LIFE)
-        return SERVICE_TIME + (self._seconds - SERVICE_TIME) * kept
+    def estimate(self, now):
+        """Return the expected seconds until a call's answer begins."""
+        remaining = 0.5 ** (max(0.0, now - self._measured_at) / DECAY_HALF_LIFE)
+        return INITIAL_SERVICE_TIME + (self._seconds - INITIAL_SERVICE_TIME) * remaining
--- a/src/chervilwing/stations.py
+++ b/src/chervilwing/stations.py
@@ -1,23 +1,24 @@
-"""What an instance knows of an upstream: what is in flight there, how it fails."""
+"""State of an upstream at one instance: its load in flight and its failure rate."""
 
 from typing import NamedTuple
 
 from .costs import blend
 
-# Seconds after which a failure counts half. Load: an upstream that fails part of its
-# calls while it looks healthy. Harm: left for ever it would never be tried again; tried
-# every second it would fail every tenth caller.
+# Seconds after which a failure counts half, for an upstream that passes health checks
+# but fails part of its calls. Without decay it would never be tried again; if it were
+# tried every second, every tenth caller would fail.
 FAILURE_HALF_LIFE = 4.0
 FAILURE_WEIGHT = 0.25
-# Seconds beyond twice its estimate after which a prompt that somebody else sends counts
-# as read, although nobody has said so: the datagram that did may be lost.
-READ_WAIT = 1.0
+# Seconds beyond twice the estimate after which a prompt that another instance sent
+# counts as read without a report, since the datagram that reported it may be lost.
+READ_REPORT_TIMEOUT = 1.0
 
 
 class InFlight(NamedTuple):
-    """What is in flight at one upstream.
+    """Load in flight at one upstream.
 
-    ``prefill`` are the prompt tokens not yet read, ``tokens`` all that is in memory.
+    ``prefill`` is the number of prompt tokens not yet read, ``tokens`` the number of
+    tokens that the requests may take in the engine's memory.
     """
 
     requests: int = 0
@@ -37,30 +38,34 @@
     )
 
 
-class Sent(NamedTuple):
-    """One request in flight, as it was estimated.
+class SentRequest(NamedTuple):
+    """A request in flight, with the estimate on which it was placed.
 
-    ``ahead`` are the prompt tokens that stood before its own, and ``alone`` tells that
-    the upstream had little else to do. ``placer`` names the process that chose the
-    upstream for it, an empty text where this instance chose for itself. From
-    ``read_by`` on its prompt counts as read, from ``over_by`` on the request as over.
+    ``prefill`` is the number of its prompt tokens to read, ``tokens`` its prompt and
+    output tokens, and ``queued_tokens`` the prompt tokens queued before its own. ``at``
+    is the time of sending in seconds. ``lightly_loaded`` is true if the upstream had
+    little other work. ``placer`` names the process that chose the upstream for other
+    instances; it is empty if this instance chose for itself. Without a report, the
+    prompt counts as read from ``assumed_read_at`` on, and the request as ended from
+    ``assumed_ended_at`` on.
     """
 
     prefill: int
     tokens: int
-    ahead: int
+    queued_tokens: int
     at: float
-    alone: bool = False
+    lightly_loaded: bool = False
     started: bool = False
     placer: str = ""
-    read_by: float = float("inf")
-    over_by: float = float("inf")
+    assumed_read_at: float = float("inf")
+    assumed_ended_at: float = float("inf")
 
 
 class Ledger:
-    """Requests in flight at one upstream; ``load`` is kept up with each change.
+    """Requests in flight at one upstream, by key.
 
-    A choice looks at the load of every upstream of a pool.
+    ``load`` is their sum, updated with each change: every choice of an upstream reads
+    the loads of all upstreams of the pool.
     """
 
     def __init__(self):
@@ -68,28 +73,31 @@
         self.load = NOTHING
 
     def add(self, key, sent):
-        """Take note of a request that goes to the upstream."""
+        """Add a request that is sent to the upstream."""
         self.remove(key)
         self.sent[key] = sent
-        self._change(1, sent.prefill, sent.tokens)
+        self._add_to_load(1, sent.prefill, sent.tokens)
 
     def start(self, key):
-        """Take note that a request's prompt is read; return it the first time."""
+        """Mark a request's prompt as read.
+
+        Return its SentRequest, or None if it is unknown or was marked before.
+        """
         sent = self.sent.get(key)
         if sent is None or sent.started:
             return None
         self.sent[key] = sent._replace(started=True)
-        self._change(0, -sent.prefill, 0)
+        self._add_to_load(0, -sent.prefill, 0)
         return sent
 
     def remove(self, key):
-        """Take note that a request is over."""
+        """Remove a request that has ended."""
         sent = self.sent.pop(key, None)
         if sent is not None:
-            self._change(-1, 0 if sent.started else -sent.prefill, -sent.tokens)
+            self._add_to_load(-1, 0 if sent.started else -sent.prefill, -sent.tokens)
 
     def sum_by_placer(self):
-        """Return the load for each process that chose the upstream."""
+        """Return the load by the process that chose the upstream for it."""
         total = {}
         for sent in self.sent.values():
             load = InFlight(1, 0 if sent.started else sent.prefill, sent.tokens)
@@ -97,70 +105,76 @@
         return total
 
     def expire(self, now):
-        """Count as read, or as over, what nobody has said anything of for too long.
+        """Mark requests as read, or remove them, if no report has come in time.
 
-        Guard: the datagram that tells it may be lost, and its sender may be gone. Kept
-        for ever, such requests would make the upstream look busier and busier.
+        The datagram with the report may be lost, or its sender gone. Without this, such
+        requests would accumulate and make the upstream look ever busier.
         """
         for key, sent in list(self.sent.items()):
-            if now >= sent.over_by:
+            if now >= sent.assumed_ended_at:
                 self.remove(key)
-            elif now >= sent.read_by:
+            elif now >= sent.assumed_read_at:
                 self.start(key)
 
-    def _change(self, requests, prefill, tokens):
+    def _add_to_load(self, requests, prefill, tokens):
         self.load = add_loads(self.load, InFlight(requests, prefill, tokens))
 
 
 class Station:
     """State of one upstream at one instance.
 
-    ``ledger`` has what this instance has in flight here itself, ``placed`` what others
-    have whom it told to send here.
+    ``ledger`` holds the requests that this instance has in flight at the upstream,
+    ``placed`` those of other instances for which this instance chose the upstream.
     """
 
     def __init__(self, registration):
         self.registration = registration
         self.ledger = Ledger()
         self.placed = Ledger()
-        # What all other instances have in flight here, the part of it that wasn't
-        # placed by this one, and until when both count.
-        self._others = NOTHING
-        self._unplaced = NOTHING
-        self._others_until = float("-inf")
+        # Load of all other instances at this upstream, the part of it that this
+        # instance didn't place, and the time until which both count.
+        self._peer_load = NOTHING
+        self._peer_unplaced = NOTHING
+        self._peer_until = float("-inf")
         self._failure_rate = 0.0
         self._failure_at = 0.0
 
     @property
     def own(self):
-        """Return what this instance has in flight here itself."""
+        """Return the load that this instance has in flight at the upstream."""
         return self.ledger.load
 
-    def hear(self, others, until, unplaced=NOTHING):
-        """Take what all other instances have in flight here.
+    def set_peer_load(self, peer_load, until, unplaced=NOTHING):
+        """Set the load that all other instances have in flight at the upstream.
 
-        ``unplaced`` is the part for which this instance did not choose the upstream.
+        ``unplaced`` is the part of it that this instance did not place. Both count
+        until the time ``until``.
         """
-        self._others, self._unplaced, self._others_until = others, unplaced, until
+        self._peer_load, self._peer_unplaced, self._peer_until = (
+            peer_load,
+            unplaced,
+            until,
+        )
 
     def count(self, now, placing=False):
-        """Return what all instances have in flight here.
+        """Return the load of all instances at the upstream.
 
-        One that is ``placing`` for all knows what it placed without being told.
+        An instance that is ``placing`` for all uses its own record of what it placed
+        instead of the reports.
         """
         load = add_loads(self.own, self.placed.load) if placing else self.own
-        if now >= self._others_until:
+        if now >= self._peer_until:
             return load
-        return add_loads(load, self._unplaced if placing else self._others)
+        return add_loads(load, self._peer_unplaced if placing else self._peer_load)
 
-    def measure_failures(self, now):
-        """Return the failure rate, which fades as time passes."""
+    def get_failure_rate(self, now):
+        """Return the failure rate from 0 to 1, which decays with time."""
         return self._failure_rate * 0.5 ** (
             (now - self._failure_at) / FAILURE_HALF_LIFE
         )
 
     def record(self, failed, now):
-        """Take the outcome of one attempt."""
-        rate = self.measure_failures(now)
+        """Record the outcome of one attempt."""
+        rate = self.get_failure_rate(now)
         self._failure_rate = blend(rate, 1.0 if failed else 0.0, FAILURE_WEIGHT)
         self._failure_at = now
--- a/tests/old_loads.py
+++ b/tests/old_loads.py
@@ -1,8 +1,8 @@
-"""Many gateways before one pool of engines, in simulated time and without a network.
+"""Simulation of many gateways in front of one pool of engines, without a network.
 
-Each gateway knows at once what it has sent itself, and what all others have in flight
-only as of some time ago, as it comes through the leaders of groups. With a placer the
-first of them chooses for all, and hears late, or not at all, what has begun and ended.
+Each gateway knows its own requests at once, and the loads of all others only with a
+delay, as in reports through group leaders. With a placer, the first gateway chooses for
+all, and receives reports of begun and ended requests late or not at all.
 """
 
 import heapq
@@ -19,20 +19,26 @@
 from chervilwing.stations import InFlight
 
 TRAITS = PoolTraits("engines", engine=EngineTraits(64, 372_000))
-# Tokens of prompts that an engine reads in a second beside what it generates.
+# Prompt tokens per second that an engine reads while it also generates.
 ENGINE_RATE = 36_000.0
 TOKEN_SECONDS = 0.009
-SNAPSHOT_EVERY = 0.05
-# Seconds until a placer's answer is there, and until it hears what has begun and ended.
+SNAPSHOT_INTERVAL = 0.05
+# Seconds until a placer's answer arrives, and until a report of a request's begin or
+# end reaches the placer.
 ASK_TIME = 0.003
-NOTE_TIME = 0.03
+REPORT_TIME = 0.03
 PLACER = "first"
-# Stands for the wait of one that was refused.
+# Wait of a request that was refused.
 REFUSED = float("inf")
 
 
 class Kind(NamedTuple):
-    """A kind of request: how often, its prompt's parts and its target."""
+    """A kind of request.
+
+    ``shared`` and ``subject`` are the tokens of these prompt parts and the number of
+    different ones, ``own`` and ``output`` are mean token counts, and ``target`` is the
+    latency target in seconds.
+    """
 
     name: str
     per_second: float
@@ -43,7 +49,7 @@
     target: float
 
 
-# Long memos with a history each, short quotes, a chat: an underwriters' pool.
+# Work of an insurer: long memos with a history each, short quotes and chats.
 KINDS = (
     Kind("memo", 81.5, (2520, 4), (3780, 840), 2890, 40, 0.8),
     Kind("quote", 57.3, (341, 40), (227, 394), 1800, 18, 0.6),
@@ -52,7 +58,7 @@
 
 
 SHORTEST = min(kind.target for kind in KINDS)
-# Another work on the same engines: longer prompts, fewer of them, that share less.
+# Different work on the same engines: fewer, longer prompts that share less.
 SHIFTED = (
     Kind("plan", 50.0, (2520, 4), (3780, 560), 5800, 52, 0.8),
     Kind("check", 40.0, (341, 16), (227, 887), 1800, 24, 0.6),
@@ -61,7 +67,7 @@
 
 
 class Engine:
-    """Prompts are read one after the other; what was read stays."""
+    """An engine that reads prompts one after the other and caches them forever."""
 
     def __init__(self):
         self.free_at = 0.0
@@ -78,11 +84,11 @@
         return self.free_at
 
 
-class Play:
-    """``age`` is from when to when others' figures are seconds old.
+class Simulation:
+    """Gateways and engines under a random load.
 
-    ``lost`` is the part of asks that aren't answered, and of notes that are lost, where
-    there is a ``placer``.
+    ``age`` is the least and greatest age of the other gateways' loads in seconds. With
+    a ``placer``, ``lost`` is the fraction of asks and reports that are lost.
     """
 
     def __init__(
@@ -108,21 +114,21 @@
         return pool
 
     def run(self, seconds, shift_at=float("inf")):
-        """Play so many seconds; return the part that was in time, by kind.
+        """Run for some seconds; return the fraction of requests in time, by kind.
 
-        From ``shift_at`` on, the work is SHIFTED.
+        From the second ``shift_at`` on, the work is SHIFTED.
         """
         self._shift_at = shift_at
         for kind in KINDS:
             self._push(self.rng.random() / 10, self._arrive, kind)
         for kind in SHIFTED if shift_at < seconds else ():
             self._push(shift_at + self.rng.random() / 10, self._arrive, kind)
-        self._push(0.0, self._tell)
+        self._push(0.0, self._report_loads)
         while self._queue:
-            now, _, act, args = heapq.heappop(self._queue)
+            now, _, action, args = heapq.heappop(self._queue)
             if now > seconds:
                 break
-            act(now, *args)
+            action(now, *args)
         return {
             kind.name: sum(w <= kind.target for w in self.waits[kind.name])
             / len(self.waits[kind.name])
@@ -130,11 +136,11 @@
             if self.waits[kind.name]
         }
 
-    def _push(self, at, act, *args):
-        heapq.heappush(self._queue, (at, next(self._order), act, args))
+    def _push(self, at, action, *args):
+        heapq.heappush(self._queue, (at, next(self._order), action, args))
 
-    def _tell(self, now):
-        """Tell each gateway what the others had in flight some time ago."""
+    def _report_loads(self, now):
+        """Give each gateway the loads that the others had some time ago."""
         loads = [
             {name: station.own for name, station in pool.stations.items()}
             for pool in self.pools
@@ -150,7 +156,7 @@
         while now - self._snapshots[0][0] > self._age[1]:
             self._snapshots.popleft()
         for number, pool in enumerate(self.pools):
-            # Each asks at its own time: the age goes up and falls back.
+            # Gateways get reports at different times, so the ages of their data vary.
             phase = (now / (self._age[1] - self._age[0]) + number * 0.618) % 1.0
             age = self._age[0] + phase * (self._age[1] - self._age[0])
             found = [item for item in self._snapshots if now - item[0] >= age]
@@ -164,7 +170,7 @@
                 for own in (loads[number][name],)
             }
             pool.hear(others, now + 9.0)
-        self._push(now + SNAPSHOT_EVERY, self._tell)
+        self._push(now + SNAPSHOT_INTERVAL, self._report_loads)
 
     def _arrive(self, now, kind):
         if kind in KINDS and now >= self._shift_at:
@@ -194,7 +200,7 @@
             waited = ASK_TIME
         if pool.is_crowded(estimate, SHORTEST):
             self.waits[kind.name].append(REFUSED)
-            self._hear_ended(now, station, demand)
+            self._receive_ended(now, station, demand)
             return
         pool.send(station, demand, estimate, now)
         at = self.engines[station.registration.name].read(demand, now) + 0.015
@@ -205,7 +211,7 @@
         return self.rng.random() < self._lost
 
     def _ask(self, pool, demand, now):
-        """Return the station of this gateway that the placer chooses for it."""
+        """Return the placer's choice: the asking gateway's own Station and Estimate."""
         origin = Origin("a", PLACER)
         found, estimate = self._placer.choose(demand, (), now, origin)
         self._placer.place(demand.request_id, demand, (found, estimate), now)
@@ -216,20 +222,20 @@
     def _start(self, now, pool, station, demand):
         pool.start(station, demand, now)
         if self._placer is not None and not self._is_lost():
-            self._push(now + NOTE_TIME, self._hear_started, station, demand, now)
+            self._push(now + REPORT_TIME, self._receive_started, station, demand, now)
         ended = now + demand.output_tokens * TOKEN_SECONDS
         self._push(ended, self._end, pool, station, demand)
 
     def _end(self, now, pool, station, demand):
         pool.end(station, demand, False, now)
         if self._placer is not None and not self._is_lost():
-            self._push(now + NOTE_TIME, self._hear_ended, station, demand)
+            self._push(now + REPORT_TIME, self._receive_ended, station, demand)
 
-    def _hear_started(self, now, station, demand, at):
+    def _receive_started(self, now, station, demand, at):
         known = self._placer.stations[station.registration.name]
         self._placer.start_placed(known, demand.request_id, at)
 
-    def _hear_ended(self, now, station, demand):
+    def _receive_ended(self, now, station, demand):
         known = self._placer.stations[station.registration.name]
         self._placer.end_placed(known, demand.request_id, None, now)
         self._placer.expire_placed(now)
--- a/tests/placing_fleet.py
+++ b/tests/placing_fleet.py
@@ -1,4 +1,4 @@
-"""Many instances that ask each other for upstreams, over a network that fails them."""
+"""Simulation of instances that ask each other for upstreams over a faulty network."""
 
 import heapq
 import random
@@ -23,7 +23,7 @@
 CENTRES = ("a", "b", "c")
 TRAITS = PoolTraits("engines", engine=EngineTraits(64, 372_000))
 TICK = 0.05
-# Seconds from its sending until a prompt is read, and until its answer is over.
+# Seconds from sending a request until its prompt is read, and until its answer ends.
 READ_TIME = 0.1
 RUN_TIME = 0.6
 DEADLINE = 4.0
@@ -31,48 +31,48 @@
 BETWEEN_STARTS = 10**9
 
 
-class Wire:
-    """One instance's datagrams; the fleet carries them."""
+class FakeDatagrams:
+    """Datagram interface of one instance; the fleet delivers the datagrams."""
 
     def __init__(self, fleet, name):
-        self.address = Address("10.0.0.1", fleet.port_of(name))
-        self.takers = {}
+        self.address = Address("10.0.0.1", fleet.get_port(name))
+        self.handlers = {}
         self._fleet = fleet
         self._name = name
 
-    def subscribe(self, kind, take):
-        self.takers[kind] = take
+    def subscribe(self, kind, handler):
+        self.handlers[kind] = handler
 
     def send(self, kind, fields, address):
-        self._fleet.carry(self._name, kind, fields, address)
+        self._fleet.deliver_later(self._name, kind, fields, address)
 
 
 class Instance:
-    """One instance: its pool, what it placed and what it was told to send."""
+    """One instance: its pool, its Placing component and the requests that it sent."""
 
     def __init__(self, fleet, name, engines):
         self.name = name
         self.fleet = fleet
         self.cfg = make_settings(
             name=name,
-            data_centre=fleet.centre_of(name),
+            data_centre=fleet.get_centre(name),
             incarnation=next(fleet.order) * BETWEEN_STARTS,
         )
         self.upstream_limits = UpstreamLimits(Allowances())
         self.pools = {"engines": PoolBalance(TRAITS, self.cfg.data_centre, fleet.rng)}
         for number in range(engines):
             self.put(f"u{number}", leaving=False)
-        self.wire = Wire(fleet, name)
+        self.datagrams = FakeDatagrams(fleet, name)
         self.coordinator = SimpleNamespace(
             peers={}, peers_version=0, list_links=lambda: {}
         )
-        self.placing = Placing(self.cfg, self.wire, self.coordinator, gateway=self)
+        self.placing = Placing(self.cfg, self.datagrams, self.coordinator, gateway=self)
         self.sent = []
-        # How many requests it asked for in vain.
-        self.alone = 0
+        # Number of requests whose ask failed, so that it chose the upstream itself.
+        self.unanswered = 0
 
     def put(self, upstream, leaving):
-        """Learn of an upstream, or that it leaves."""
+        """Register an upstream, or mark it as leaving."""
         centre = CENTRES[int(upstream[1:]) % len(CENTRES)]
         address = Address("10.1.0.1", int(upstream[1:]))
         self.pools["engines"].put(
@@ -80,39 +80,40 @@
         )
 
     def place_alone(self, relay, now):
-        self.alone += 1
+        self.unanswered += 1
         self.choose(relay, now)
 
     def list_excluded(self, relay, now):
         return relay.tried
 
     def choose(self, relay, now):
-        """Choose an upstream here."""
+        """Choose an upstream here and send the request."""
         origin = self.placing._read_origin()
         self.place(relay, relay.pool.choose(relay.demand, (), now, origin), now)
 
     def place(self, relay, found, now):
-        """Take note of a send; its prompt is read and its answer ends by and by."""
+        """Record a request as sent, and schedule its first byte and its end."""
         station, estimate = found
         self.sent.append((relay.demand.request_id, station))
         relay.pool.send(station, relay.demand, estimate, now)
-        self.fleet.call(READ_TIME, self._start, relay, station)
-        self.fleet.call(RUN_TIME, self._end, relay, station)
+        self.fleet.call_later(READ_TIME, self._start, relay, station)
+        self.fleet.call_later(RUN_TIME, self._end, relay, station)
 
     def _start(self, relay, station):
         if relay.pool.start(station, relay.demand, self.fleet.now):
-            self.placing._note_started(relay)
+            self.placing._queue_started(relay)
 
     def _end(self, relay, station):
         relay.over = True
         relay.pool.end(station, relay.demand, False, self.fleet.now)
-        self.placing._note_ended(relay, False)
+        self.placing._queue_placed_ended(relay, False)
 
 
 class Fleet:
-    """All instances; ``lost`` and ``doubled`` are parts of all datagrams.
+    """All instances and the network between them.
 
-    Where some are ``late``, they take up to 0.2 s.
+    ``lost`` and ``doubled`` are the fractions of datagrams that are lost or duplicated.
+    With ``late``, some datagrams take up to 0.2 s.
     """
 
     def __init__(self, size, engines, seed, lost=0.0, doubled=0.0, late=False):
@@ -121,11 +122,11 @@
         self.order = count(1)
         self.lost, self.doubled = lost, doubled
         self.delays = (0.001, 0.003, 0.02, 0.2) if late else (0.001, 0.003)
-        self.asked = []
-        self.cut = set()
+        self.requests = []
+        self.cut_centres = set()
         self.dead = set()
-        # Whose requests went with their process.
-        self.failed = set()
+        # Instances that were killed or restarted and so lost their requests.
+        self.lost_instances = set()
         self._due = []
         self._names = [f"i{number}" for number in range(size)]
         self.instances = {name: Instance(self, name, engines) for name in self._names}
@@ -134,46 +135,46 @@
 
     def _introduce(self, instance):
         peers = {
-            other.name: Peer(other.wire.address, other.cfg.data_centre, 10.0)
+            other.name: Peer(other.datagrams.address, other.cfg.data_centre, 10.0)
             for other in self.instances.values()
             if other is not instance
         }
         instance.coordinator.peers = peers
         instance.coordinator.peers_version += 1
 
-    def port_of(self, name):
+    def get_port(self, name):
         return 1 + self._names.index(name)
 
-    def centre_of(self, name):
+    def get_centre(self, name):
         return CENTRES[self._names.index(name) % len(CENTRES)]
 
-    def call(self, delay, act, *args):
-        heapq.heappush(self._due, (self.now + delay, next(self.order), act, args))
+    def call_later(self, delay, action, *args):
+        heapq.heappush(self._due, (self.now + delay, next(self.order), action, args))
 
-    def carry(self, sender, kind, fields, address):
-        """Carry a datagram, late and maybe twice, or lose it."""
+    def deliver_later(self, sender, kind, fields, address):
+        """Schedule the delivery of a datagram: once, twice or, if lost, never."""
         name = self._names[address.port - 1]
         copies = 1 + (self.rng.random() < self.doubled)
         for _ in range(copies):
             if self.rng.random() >= self.lost:
                 delay = self.rng.choice(self.delays)
-                self.call(delay, self._deliver, sender, name, kind, fields)
+                self.call_later(delay, self._deliver, sender, name, kind, fields)
 
     def _deliver(self, sender, name, kind, fields):
-        apart = (self.centre_of(sender) in self.cut) != (
-            self.centre_of(name) in self.cut
+        apart = (self.get_centre(sender) in self.cut_centres) != (
+            self.get_centre(name) in self.cut_centres
         )
         if name in self.dead or sender in self.dead or apart:
             return
-        wire = self.instances[name].wire
-        source = self.instances[sender].wire.address
-        wire.takers[kind](source, *msgpack.unpackb(msgpack.packb(fields)))
+        datagrams = self.instances[name].datagrams
+        source = self.instances[sender].datagrams.address
+        datagrams.handlers[kind](source, *msgpack.unpackb(msgpack.packb(fields)))
 
     def ask(self, name):
-        """Let a request come to an instance."""
+        """Let a new request arrive at an instance."""
         if name in self.dead:
             return
-        number = len(self.asked)
+        number = len(self.requests)
         instance = self.instances[name]
         parts = (PromptPart(f"s{number % 7}", 900), PromptPart(f"o{number}", 500))
         demand = Demand(f"r{number}", self.now + DEADLINE, 1400, 50, 50, parts)
@@ -184,29 +185,29 @@
             over=False,
             ticket=None,
         )
-        self.asked.append((name, demand.request_id))
-        if not instance.placing._ask(relay, self.now):
+        self.requests.append((name, demand.request_id))
+        if not instance.placing._send_ask(relay, self.now):
             instance.choose(relay, self.now)
 
     def list_living(self):
         return [i for name, i in self.instances.items() if name not in self.dead]
 
     def kill(self, name):
-        """End an instance for good."""
+        """Stop an instance permanently."""
         self.dead.add(name)
-        self.failed.add(name)
+        self.lost_instances.add(name)
 
     def restart(self, name):
-        """Start an instance again: it keeps nothing and has another incarnation."""
+        """Restart an instance without its state, under a new incarnation."""
         sent = self.instances[name].sent
         engines = len(self.instances[name].pools["engines"].stations)
         self.instances[name] = Instance(self, name, engines)
         self.instances[name].sent = sent
-        self.failed.add(name)
+        self.lost_instances.add(name)
         self._introduce(self.instances[name])
 
     def run(self, until):
-        """Play until a time; every instance ticks."""
+        """Run events and ticks of all instances until a time in seconds."""
         with mock.patch.object(placing, "read_boottime", lambda: self.now):
             ticks = self.now
             while self.now < until:
@@ -218,7 +219,7 @@
                             instance.placing._on_tick()
                     ticks += TICK
                 elif due < until:
-                    self.now, _, act, args = heapq.heappop(self._due)
-                    act(*args)
+                    self.now, _, action, args = heapq.heappop(self._due)
+                    action(*args)
                 else:
                     self.now = until
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -1,4 +1,4 @@
-"""Where requests go: bursts, skew, one slow or failing upstream, long beside short."""
+"""Choice of upstreams: bursts, hot subjects, overload, failing or leaving upstreams."""
 
 import random
 import unittest
@@ -17,7 +17,7 @@
 
 
 def make_pool(traits, count=5, data_centre="a"):
-    """Return a pool of upstreams in one data centre."""
+    """Return a pool with ``count`` upstreams, all in data centre a."""
     pool = PoolBalance(traits, data_centre, random.Random(1))
     for number in range(count):
         address = Address("10.0.0.1", number)
@@ -26,7 +26,7 @@
 
 
 def make_demand(name, *parts, output=50):
-    """Return a request whose prompt has these parts."""
+    """Return a Demand whose prompt has these (name, tokens) parts."""
     parts = tuple(PromptPart(*part) for part in parts)
     tokens = sum(part.tokens for part in parts)
     return Demand(name, 10.0, tokens, output, output, parts)
@@ -34,39 +34,39 @@
 
 class PoolCase(unittest.TestCase):
     def send(self, pool, demand, now=0.0):
-        """Send a request where the pool chooses and return the upstream's name."""
+        """Send a request to the upstream that the pool chooses; return its name."""
         station, estimate = pool.choose(demand, (), now)
         pool.send(station, demand, estimate, now)
         return station.registration.name
 
 
 class TestStart(PoolCase):
-    def test_hundreds_of_upstreams_that_register_at_once_are_put_together_once(self):
-        # With a ring made anew for each, a thousand took an instance 27 seconds of its
-        # processor at the start; hundreds of instances weren't ready in time.
+    def test_ring_is_built_once_when_hundreds_of_upstreams_register(self):
+        # When the ring was rebuilt at each registration, a thousand upstreams took an
+        # instance 27 seconds of CPU time, and hundreds of instances started too late.
         with mock.patch("chervilwing.balancing.Ring", wraps=Ring) as ring:
             pool = make_pool(ENGINES, count=300)
             demand = make_demand("r", ("shared", 2500), ("subject", 3800), ("own", 9))
             self.send(pool, demand)
             self.assertLessEqual(ring.call_count, 1)
-            # It is up to date when one is gone.
-            owner = pool._find_owner(demand, list(pool.stations.values()))[0]
+            # The ring is rebuilt when an upstream is removed.
+            owner = pool._find_ring_owner(demand, list(pool.stations.values()))[0]
             pool.remove(owner)
-            left = pool._find_owner(demand, list(pool.stations.values()))[0]
+            left = pool._find_ring_owner(demand, list(pool.stations.values()))[0]
             self.assertNotEqual(owner, left)
             self.assertEqual(ring.call_count, 2)
 
 
 class TestEngines(PoolCase):
-    def test_a_burst_spreads_over_all(self):
+    def test_a_burst_spreads_over_all_engines(self):
         pool = make_pool(ENGINES)
         for number in range(25):
             self.send(pool, make_demand(f"r{number}", (f"own{number}", 4000)))
         loads = [station.count(0.0).requests for station in pool.stations.values()]
         self.assertLessEqual(max(loads) - min(loads), 1)
 
-    def test_requests_of_one_subject_go_where_its_prompt_is(self):
-        # Sent round in turn, each engine would read the same history anew.
+    def test_requests_of_one_subject_go_to_the_engine_that_cached_it(self):
+        # With round-robin, each engine would read the same history again.
         pool = make_pool(ENGINES)
         names = set()
         for number in range(6):
@@ -79,14 +79,14 @@
             names.add(name)
         self.assertEqual(len(names), 1)
 
-    def test_instances_that_don_t_talk_agree_on_a_subject(self):
+    def test_instances_without_contact_choose_the_same_engine_for_a_subject(self):
         demand = make_demand("r", ("shared", 2500), ("subject", 3800), ("own", 100))
         pools = [make_pool(ENGINES) for _ in range(4)]
         self.assertEqual(len({self.send(pool, demand) for pool in pools}), 1)
 
-    def test_a_hot_subject_spills_over(self):
-        # One subject gets a third of the traffic: kept on its engine alone, its callers
-        # would wait while others idle.
+    def test_a_hot_subject_spreads_over_several_engines(self):
+        # One subject gets a third of the traffic. On a single engine its callers would
+        # wait while the other engines are idle.
         pool = make_pool(ENGINES)
         for number in range(30):
             demand = make_demand(
@@ -96,22 +96,23 @@
         busy = [s for s in pool.stations.values() if s.count(0.0).requests]
         self.assertGreaterEqual(len(busy), 4)
 
-    def test_what_others_have_in_flight_counts(self):
-        # Every instance sees the same idle engine; each would send its next one there.
+    def test_the_load_of_other_instances_counts(self):
+        # An engine that only other instances use looks idle here; without their load,
+        # every instance would send its next request there.
         pool = make_pool(ENGINES, count=2)
-        pool.stations["u0"].hear(InFlight(6, 60_000, 60_000), 1.0)
+        pool.stations["u0"].set_peer_load(InFlight(6, 60_000, 60_000), 1.0)
         names = {
             self.send(pool, make_demand(f"r{n}", (f"o{n}", 500))) for n in range(4)
         }
         self.assertEqual(names, {"u1"})
         self.assertEqual(pool.stations["u0"].count(2.0).prefill, 0)
 
-    def test_a_full_memory_sends_work_elsewhere(self):
+    def test_an_engine_with_full_memory_is_avoided(self):
         pool = make_pool(ENGINES, count=2)
-        pool.stations["u0"].hear(InFlight(9, 0, 399_000), 1.0)
+        pool.stations["u0"].set_peer_load(InFlight(9, 0, 399_000), 1.0)
         self.assertEqual(self.send(pool, make_demand("r", ("o", 3000))), "u1")
 
-    def test_the_pace_is_learned_from_answers(self):
+    def test_the_prefill_rate_is_learned_from_answers(self):
         pool = make_pool(ENGINES, count=1)
         for number in range(60):
             demand = make_demand(f"r{number}", (f"o{number}", 8000))
@@ -122,16 +123,17 @@
 
 
 class TestWork(PoolCase):
-    def test_engines_that_are_overloaded_don_t_make_the_work_look_larger(self):
-        # A wave takes most engines, the rest answer ten times as late: measured in
-        # their time the work grew tenfold, and sixty engines were ordered for thirty.
+    def test_overloaded_engines_do_not_increase_the_measured_work(self):
+        # When most engines are reclaimed, the others answer ten times as late. Measured
+        # by their answer times, the work grew tenfold, and sixty engines were ordered
+        # instead of thirty.
         pool, works = make_pool(ENGINES, count=2), []
         for number in range(120):
             demand = make_demand(f"r{number}", (f"o{number}", 8000))
             late = number >= 20
             if late:
                 for station in pool.stations.values():
-                    station.hear(InFlight(40, 60_000, 200_000), number + 1.0)
+                    station.set_peer_load(InFlight(40, 60_000, 200_000), number + 1.0)
             station, estimate = pool.choose(demand, (), float(number))
             before = pool.work
             pool.ask(demand, estimate)
@@ -141,7 +143,7 @@
             pool.end(station, demand, False, number + 0.95)
         self.assertAlmostEqual(works[-1], works[19], delta=works[19] * 0.1)
 
-    def test_a_request_counts_once_however_often_it_is_sent(self):
+    def test_the_work_of_a_request_counts_once_over_all_attempts(self):
         pool = make_pool(ENGINES)
         demand = make_demand("r", ("o", 8000))
         station, estimate = pool.choose(demand, (), 0.0)
@@ -154,8 +156,8 @@
 
 
 class TestFailing(PoolCase):
-    def test_one_that_fails_part_of_its_calls_gets_little(self):
-        # Its health check is good and half of its answers are failures.
+    def test_an_upstream_that_fails_half_of_its_calls_gets_few(self):
+        # Its health check passes, so only the answers show the failures.
         pool = make_pool(PAGES, count=3)
         rng, sent = random.Random(2), []
         for number in range(300):
@@ -167,15 +169,15 @@
             pool.end(pool.stations[name], demand, failed, now + 0.04)
         self.assertLess(sent.count("u0") / len(sent), 0.12)
 
-    def test_one_that_has_recovered_is_used_again(self):
+    def test_a_recovered_upstream_is_used_again(self):
         pool = make_pool(PAGES, count=2)
         for _ in range(6):
             pool.stations["u0"].record(True, 0.0)
         later = [self.send(pool, Demand(f"r{n}", 99.0), 60.0) for n in range(8)]
         self.assertIn("u0", later)
 
-    def test_where_all_fail_all_are_used(self):
-        # Failures of all alike say nothing about one of them.
+    def test_all_upstreams_are_used_when_all_fail(self):
+        # If all upstreams fail alike, the failures tell nothing about any single one.
         pool = make_pool(PAGES, count=3)
         for station in pool.stations.values():
             for _ in range(6):
@@ -185,7 +187,7 @@
 
 
 class TestLeaving(PoolCase):
-    def test_a_leaving_one_gets_nothing(self):
+    def test_a_leaving_upstream_gets_no_requests(self):
         pool = make_pool(PAGES, count=2)
         station = pool.stations["u0"]
         station.registration = station.registration._replace(leaving=True)
--- a/tests/test_old_loads.py
+++ b/tests/test_old_loads.py
@@ -1,60 +1,60 @@
-"""Sixty-eight gateways that know of each other only what was, a moment ago."""
+"""Choice of engines by many gateways whose load reports are outdated."""
 
 import unittest
 
-from tests.old_loads import Play
+from tests.old_loads import Simulation
 
 
 class TestOldLoads(unittest.TestCase):
-    def test_figures_that_are_old_draw_nobody_to_the_same_engine(self):
-        # Every gateway hears twice a second what all others have in flight. An engine
-        # that was idle then is chosen by all of them until they hear again: half of
-        # the chats start late although a third of the engines' time is free.
-        parts = Play(68, 30, age=(0.3, 0.9)).run(6.0)
+    def test_outdated_loads_do_not_send_all_gateways_to_one_engine(self):
+        # Every gateway receives the loads of all others twice a second. Until the next
+        # report, all of them chose the engine that was idle in the last one: half of
+        # the chats started late although a third of the engines' time was free.
+        parts = Simulation(68, 30, age=(0.3, 0.9)).run(6.0)
         for kind, part in parts.items():
             self.assertGreater(part, 0.8, kind)
 
-    def test_a_burst_is_borne_as_well(self):
-        parts = Play(68, 30, age=(0.3, 0.9), load=1.15).run(6.0)
+    def test_a_burst_is_served_mostly_in_time(self):
+        parts = Simulation(68, 30, age=(0.3, 0.9), load=1.15).run(6.0)
         for kind, part in parts.items():
             self.assertGreater(part, 0.7, kind)
 
-    def test_one_that_places_for_all_needs_fewer_engines(self):
-        # A fifth fewer engines: with figures of a moment ago a third of all start late,
-        # while somewhere there is always one that is idle. Whoever places knows which.
+    def test_a_placer_serves_the_same_load_with_fewer_engines(self):
+        # With a fifth fewer engines and outdated loads, a third of all requests start
+        # late although some engine is always idle. A placer knows which one.
         for gateways, seconds in ((8, 6.0), (67, 6.0), (320, 3.0)):
-            parts = Play(gateways, 24, age=(0.3, 0.9), placer=True).run(seconds)
+            parts = Simulation(gateways, 24, age=(0.3, 0.9), placer=True).run(seconds)
             for kind, part in parts.items():
                 with self.subTest(gateways=gateways, kind=kind):
                     self.assertGreater(part, 0.97)
 
-    def test_a_pool_that_is_asked_for_too_much_does_what_it_can(self):
-        # Engines for four fifths, two thirds and half of the work. Let in without a
-        # bound, all wait for all before them: after five seconds nobody is served in
-        # time, though the engines work all the while. Refused at once are those that
-        # would have begun late, and no kind or size is left out for another.
+    def test_an_overloaded_pool_still_serves_what_it_can(self):
+        # There are engines for four fifths, two thirds and half of the work. With an
+        # unbounded queue each request waits for all before it: after five seconds none
+        # is in time although the engines work all the while. Requests that would start
+        # late have to be refused at once, without preferring any kind or size.
         for engines, least in ((16, 0.7), (13, 0.55), (10, 0.4)):
-            parts = Play(67, engines, age=(0.3, 0.9), placer=True).run(12.0)
+            parts = Simulation(67, engines, age=(0.3, 0.9), placer=True).run(12.0)
             for kind, part in parts.items():
                 with self.subTest(engines=engines, kind=kind):
                     self.assertGreater(part, least)
 
-    def test_the_work_shifts_in_the_middle_of_a_day(self):
-        # From one second to the next prompts are longer by half, and nothing that was
-        # read is asked for again. What was learned of the old work must not misplace
-        # the new: only the first second, when all is cold, may be late in part.
-        parts = Play(67, 24, age=(0.3, 0.9), placer=True).run(12.0, shift_at=4.0)
+    def test_a_sudden_change_of_the_work_is_served_in_time(self):
+        # From one second to the next prompts become half as long again, and no cached
+        # part is requested again. Estimates learned from the old work must not misplace
+        # the new: only the first second, with cold caches, may be late in part.
+        parts = Simulation(67, 24, age=(0.3, 0.9), placer=True).run(12.0, shift_at=4.0)
         for kind, part in parts.items():
             self.assertGreater(part, 0.9, kind)
 
-    def test_one_that_places_may_miss_a_tenth_of_what_is_said(self):
-        # Asks and notes of what has begun and ended are lost, so that some choose for
-        # themselves, unknown to it, and prompts count as unread that are read.
-        parts = Play(67, 24, age=(0.3, 0.9), placer=True, lost=0.1).run(6.0)
+    def test_a_placer_tolerates_the_loss_of_a_tenth_of_the_datagrams(self):
+        # When asks are lost, gateways choose for themselves without the placer knowing;
+        # when reports are lost, prompts that were read count as unread.
+        parts = Simulation(67, 24, age=(0.3, 0.9), placer=True, lost=0.1).run(6.0)
         for kind, part in parts.items():
             self.assertGreater(part, 0.95, kind)
 
-    def test_a_few_gateways_lose_nothing_by_it(self):
-        parts = Play(7, 6, age=(0.05, 0.3), load=0.18).run(12.0)
+    def test_a_few_gateways_without_a_placer_are_in_time(self):
+        parts = Simulation(7, 6, age=(0.05, 0.3), load=0.18).run(12.0)
         for kind, part in parts.items():
             self.assertGreater(part, 0.93, kind)
--- a/tests/test_placing_model.py
+++ b/tests/test_placing_model.py
@@ -1,9 +1,9 @@
-"""Requests that are placed by another instance, while the network fails both."""
+"""Placement of requests by another instance, over a faulty network."""
 
 import unittest
 from collections import Counter
 
-from chervilwing.placers import MISSES
+from chervilwing.placers import MAX_TIMEOUTS
 from chervilwing.stations import NOTHING
 from tests.placing_fleet import DEADLINE, Fleet
 
@@ -13,22 +13,22 @@
 PER_SECOND = 60
 
 
-def play(fleet, trouble):
-    """Play some seconds of requests with a trouble in the middle, then calm."""
+def run_requests(fleet, fault):
+    """Run some seconds of requests with one fault, then wait until all have ended."""
     names = list(fleet.instances)
     for number in range(int(SECONDS * PER_SECOND)):
-        fleet.call(number / PER_SECOND, fleet.ask, fleet.rng.choice(names))
-    fleet.call(SECONDS / 3, trouble, fleet)
+        fleet.call_later(number / PER_SECOND, fleet.ask, fleet.rng.choice(names))
+    fleet.call_later(SECONDS / 3, fault, fleet)
     fleet.run(SECONDS + DEADLINE + 3.0)
 
 
 def find_placer(fleet):
-    return next(iter(fleet.instances.values())).placing._names[0]
+    return next(iter(fleet.instances.values())).placing._placer_names[0]
 
 
 def cut_centre(fleet):
-    fleet.cut.add(fleet.centre_of(find_placer(fleet)))
-    fleet.call(1.0, fleet.cut.clear)
+    fleet.cut_centres.add(fleet.get_centre(find_placer(fleet)))
+    fleet.call_later(1.0, fleet.cut_centres.clear)
 
 
 def kill_placer(fleet):
@@ -39,43 +39,45 @@
     fleet.restart(find_placer(fleet))
 
 
-def take_upstream(fleet):
-    """Let every instance but the placer hear that an upstream leaves."""
+def announce_leaving(fleet):
+    """Let every instance except the placer know that upstream u0 is leaving."""
     for name, instance in fleet.instances.items():
         if name != find_placer(fleet):
             instance.put("u0", leaving=True)
     fleet.left_at = {n: len(i.sent) for n, i in fleet.instances.items()}
 
 
-TROUBLES = (lambda fleet: None, cut_centre, kill_placer, restart_placer)
+FAULTS = (lambda fleet: None, cut_centre, kill_placer, restart_placer)
 
 
 class TestPlacingModel(unittest.TestCase):
-    def play_all(self, check):
+    def check_all(self, check):
         for size in SIZES:
-            for number, trouble in enumerate(TROUBLES):
+            for number, fault in enumerate(FAULTS):
                 fleet = Fleet(size, ENGINES, number, lost=0.1, doubled=0.1, late=True)
-                play(fleet, trouble)
-                with self.subTest(size=size, trouble=number):
+                run_requests(fleet, fault)
+                with self.subTest(size=size, fault=number):
                     check(fleet)
 
     def test_each_request_is_sent_once(self):
-        # An answer comes after its asker has chosen for itself, or comes twice: taken
-        # again, one request would run at two upstreams. One that is lost must not leave
-        # its caller waiting for ever.
+        # An answer may arrive after its asker has chosen an upstream itself, or arrive
+        # twice; if it were used again, the request would run at two upstreams. A lost
+        # answer must not leave the caller waiting.
         def check(fleet):
             sent = Counter(
                 request for i in fleet.instances.values() for request, _ in i.sent
             )
-            asked = [r for name, r in fleet.asked if name not in fleet.failed]
-            self.assertEqual({r: sent[r] for r in asked}, dict.fromkeys(asked, 1))
+            requests = [
+                r for name, r in fleet.requests if name not in fleet.lost_instances
+            ]
+            self.assertEqual({r: sent[r] for r in requests}, dict.fromkeys(requests, 1))
             self.assertEqual(set(sent.values()), {1})
 
-        self.play_all(check)
+        self.check_all(check)
 
-    def test_what_nobody_speaks_of_any_more_is_forgotten(self):
-        # Notes of what has begun and ended are lost, and instances with them. An
-        # upstream would look busier with each, until nobody was sent there any more.
+    def test_placed_requests_without_reports_expire(self):
+        # Reports of requests that began or ended are lost, or their sender is. Each one
+        # would make the upstream look busier, until no request was sent there.
         def check(fleet):
             for instance in fleet.list_living():
                 loads = {
@@ -83,16 +85,16 @@
                     for station in instance.pools["engines"].stations.values()
                 }
                 self.assertEqual(loads, {NOTHING})
-                self.assertEqual(instance.placing._known, {})
+                self.assertEqual(instance.placing._placed, {})
 
-        self.play_all(check)
+        self.check_all(check)
 
-    def test_an_upstream_that_the_asker_knows_to_leave_gets_nothing_new(self):
-        # The placer hears late that an upstream leaves, and goes on to choose it. Those
-        # that ask have acknowledged it: nothing may go there any more.
+    def test_a_leaving_upstream_known_to_the_asker_gets_no_requests(self):
+        # The placer receives late that an upstream leaves and still chooses it. The
+        # asking instances know already, and must not send it anything.
         for size in SIZES:
             fleet = Fleet(size, ENGINES, seed=7, lost=0.1, late=True)
-            play(fleet, take_upstream)
+            run_requests(fleet, announce_leaving)
             placer = find_placer(fleet)
             for name, instance in fleet.instances.items():
                 later = [s for _, s in instance.sent[fleet.left_at[name] :]]
@@ -100,17 +102,17 @@
                 with self.subTest(size=size, name=name):
                     self.assertTrue(name == placer or "u0" not in names)
 
-    def test_a_cut_data_centre_finds_a_placer_of_its_own(self):
-        # Two asks without an answer, maybe a third that left meanwhile, and then an
-        # instance of its own data centre is asked. Asked one after the other, each that
-        # can't be reached would delay two requests of every instance.
+    def test_a_cut_off_data_centre_uses_its_own_placer(self):
+        # After two asks without an answer, and maybe a third one already under way, an
+        # instance asks a placer in its own data centre. If it went through all placers
+        # in order, each unreachable one would delay two requests of every instance.
         fleet = Fleet(9, ENGINES, seed=3)
-        play(fleet, lambda f: f.cut.add(f.centre_of(find_placer(f))))
+        run_requests(fleet, lambda f: f.cut_centres.add(f.get_centre(find_placer(f))))
         for name, instance in fleet.instances.items():
-            asked = sum(asker == name for asker, _ in fleet.asked)
+            requests = sum(asker == name for asker, _ in fleet.requests)
             with self.subTest(name=name):
-                self.assertGreater(asked, 15)
-                self.assertLessEqual(instance.alone, MISSES + 1)
+                self.assertGreater(requests, 15)
+                self.assertLessEqual(instance.unanswered, MAX_TIMEOUTS + 1)
 
 
 if __name__ == "__main__":
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -241,7 +241,7 @@
                 "if name not in excluded",
             ),
         ),
-        ("tests.test_balancing.TestLeaving.test_a_leaving_one_gets_nothing",),
+        ("tests.test_balancing.TestLeaving.test_a_leaving_upstream_gets_no_requests",),
     ),
     Weakness(
         "an older change replaces a newer one",
@@ -383,17 +383,17 @@
         (
             Edit(
                 "placing",
-                "item = self._open.pop(answer.number, None)",
-                "item = self._open.get(answer.number)",
+                "item = self._pending.pop(answer.number, None)",
+                "item = self._pending.get(answer.number)",
             ),
-            Edit("placing", "        del self._open[number]\n", ""),
+            Edit("placing", "        del self._pending[number]\n", ""),
         ),
         (PLACING + "each_request_is_sent_once",),
     ),
     Weakness(
         "what is placed stays placed",
-        (Edit("stations", "if now >= sent.over_by:", "if False:"),),
-        (PLACING + "what_nobody_speaks_of_any_more_is_forgotten",),
+        (Edit("stations", "if now >= sent.assumed_ended_at:", "if False:"),),
+        (PLACING + "placed_requests_without_reports_expire",),
     ),
     Weakness(
         "a placer's word goes before one's own knowledge",
@@ -404,16 +404,18 @@
                 "if station is None:",
             ),
         ),
-        (PLACING + "an_upstream_that_the_asker_knows_to_leave_gets_nothing_new",),
+        (PLACING + "a_leaving_upstream_known_to_the_asker_gets_no_requests",),
     ),
     Weakness(
         "all are let in",
         (
             Edit(
-                "balancing", "return estimate.ahead / self.rate > most", "return False"
+                "balancing",
+                "return estimate.queued_tokens / self.rate > limit",
+                "return False",
             ),
         ),
-        (LOADS + "a_pool_that_is_asked_for_too_much_does_what_it_can",),
+        (LOADS + "an_overloaded_pool_still_serves_what_it_can",),
     ),
     Weakness(
         "who hears nothing goes on to try a version",
@@ -460,7 +462,7 @@
         ),
         (
             "tests.test_prompt_caches.TestPlacements"
-            ".test_what_is_told_again_and_again_ends_all_the_same",
+            ".test_repeated_reports_do_not_extend_a_placement",
         ),
     ),
     Weakness(
@@ -468,21 +470,21 @@
         (
             Edit(
                 "prompt_caches",
-                "while size > memory_tokens * KEPT_PART and len(kept) > 1:",
+                "while size > memory_tokens * SHARED_FRACTION and len(kept) > 1:",
                 "while False:",
             ),
         ),
         (
             "tests.test_prompt_caches.TestPromptCaches"
-            ".test_what_was_used_longest_ago_is_forgotten_first",
+            ".test_the_least_recently_used_parts_are_dropped_first",
         ),
     ),
     Weakness(
         "old figures are taken as they stand",
-        (Edit("balancing", "OTHERS_WEIGHT = 0.25", "OTHERS_WEIGHT = 1.0"),),
+        (Edit("balancing", "PEER_PREFILL_WEIGHT = 0.25", "PEER_PREFILL_WEIGHT = 1.0"),),
         (
             "tests.test_old_loads.TestOldLoads"
-            ".test_figures_that_are_old_draw_nobody_to_the_same_engine",
+            ".test_outdated_loads_do_not_send_all_gateways_to_one_engine",
         ),
     ),
     Weakness(
