--- a/src/chervilwing/rollout_duty.py
+++ b/src/chervilwing/rollout_duty.py
@@ -1,4 +1,4 @@
-"""Decide on roll-outs and write it down, while this instance holds the duties."""
+"""Decide on roll-outs and store the decisions, while this instance holds the duties."""
 
 from circuits.core import BaseComponent, handler
 
@@ -8,19 +8,19 @@
 from .rollouts import (
     Decision,
     decide,
-    is_following,
+    make_commit,
+    may_follow,
     split_answers,
     sum_answers,
-    write_decision,
 )
 from .tallies import add_totals
 
-# Seconds between two looks at what was seen of a version.
-LOOK_EVERY = 0.5
+# Seconds between two evaluations of the versions' answers.
+EVALUATE_INTERVAL = 0.5
 
 
 class RolloutDuty(BaseComponent):
-    """Follow each open order to its end; one write at a time."""
+    """Advance each open order to its final state, one write at a time."""
 
     channel = "rollout-duty"
 
@@ -32,14 +32,14 @@
         self._write_status = write_status
         self._read_time = read_time
         self._busy = False
-        self._due = 0.0
+        self._next_evaluation = 0.0
 
     @handler("tick", channel="*")
     def _on_tick(self):
         now = read_boottime()
-        if self._busy or now < self._due or not self._rollouts.open:
+        if self._busy or now < self._next_evaluation or not self._rollouts.open:
             return
-        self._due = now + LOOK_EVERY
+        self._next_evaluation = now + EVALUATE_INTERVAL
         if self._coordinator.tenure.fence(now) is None:
             return
         for rollout in self._rollouts.open.values():
@@ -47,12 +47,12 @@
                 return
 
     def _advance(self, rollout):
-        """Write the state that follows; tell whether there is one."""
+        """Write the next state of a roll-out; return whether there is one."""
         answers = add_totals(self._rollouts.answers, self._rollouts.heard)
-        tried, standing = split_answers(answers, rollout)
+        tried, current = split_answers(answers, rollout)
         now = self._read_time()
-        state = decide(rollout, tried, standing, now)
-        if state is None or not is_following(rollout.decision, state):
+        state = decide(rollout, tried, current, now)
+        if state is None or not may_follow(rollout.decision, state):
             return False
         began = rollout.decision.began_at if rollout.decision else now
         target = rollout.order.target
@@ -64,12 +64,12 @@
             state=state,
             seconds=round(now - began, 3),
             tried=dict(zip(("answers", "bad"), sum_answers(tried), strict=True)),
-            standing=dict(zip(("answers", "bad"), sum_answers(standing), strict=True)),
+            standing=dict(zip(("answers", "bad"), sum_answers(current), strict=True)),
         )
         status = self._write_status(rollout.order.pool, target, state)
         self._busy = True
         self._coordinator.tenure.note_act(read_boottime())
-        commit = write_decision(rollout, decision, status)
+        commit = make_commit(rollout, decision, status)
         self._store.submit(
             commit, lambda reply: self._written(rollout.order.pool, decision, reply)
         )
@@ -80,5 +80,6 @@
         if isinstance(reply, Committed):
             self._rollouts.put_decision(pool, decision, reply.revision)
             return
-        # What another one wrote, or a lost answer hides, comes by the watch.
+        # A decision of another instance, or one whose answer was lost, arrives by the
+        # watch.
         log_event("rollout not written", pool=pool, reply=type(reply).__name__)
--- a/src/chervilwing/rollouts.py
+++ b/src/chervilwing/rollouts.py
@@ -1,10 +1,11 @@
-"""Which versions of a pool's upstreams may take requests while a new one is tried.
-
-An operator orders that a pool's work moves to a new version by a deadline. Until the
-end, the new version gets a small part of the requests, drawn for each request alone, so
-that no word is needed to bound it. The holder of the duties judges by what all
-instances saw, and writes its decision to the store, where it goes one way only.
-docs/design/ROLLOUTS.md has the bound, the test and the ways weighed.
+"""Roll-out of a new version of a pool's upstreams, with a trial and a rollback.
+
+An operator orders that a pool's work moves to a new version by a deadline. During the
+trial the new version gets a small fraction of the requests, drawn at random for each
+request, so that the fraction is bounded without coordination. The holder of the duties
+evaluates the answers that all instances saw and writes its decision to the store; a
+decision never returns to an earlier state. docs/design/ROLLOUTS.md has the bound, the
+statistical test and the alternatives.
 """
 
 from math import comb
@@ -17,53 +18,55 @@
 from .tallies import grow
 
 DECISIONS = "chervilwing/instances-rollouts/"
-# Which answers a total counts; the fields of Answers.
+# Which answers a total counts: the field names of Answers.
 ALL, BAD = "count", "bad"
-# States of a decision, in the only order that it may take.
+# States of a decision, and for each the states that may follow it.
 RUNNING, SHIFTING = "running", "shifting"
 COMPLETED, ROLLED_BACK = "completed", "rolled_back"
-FOLLOWING = {
+NEXT_STATES = {
     RUNNING: (SHIFTING, COMPLETED, ROLLED_BACK),
     SHIFTING: (COMPLETED, ROLLED_BACK),
     COMPLETED: (),
     ROLLED_BACK: (),
 }
-# Part of the requests that a version on trial gets. Operators bear a tenth; drawn for
-# each request, the part stays below that at any number of requests and instances.
-TRIAL_PART = 0.04
-# Part of all requests that may reach a bad version by the deadline, and how many more.
-EXPOSED_PART = 0.1
+# Fraction of the requests that a version on trial gets. Operators tolerate a tenth; as
+# it is drawn for each request, the fraction stays below that for any number of requests
+# and instances.
+TRIAL_FRACTION = 0.04
+# Fraction of all requests that may reach a bad version by the deadline, and the number
+# that is allowed on top.
+EXPOSED_FRACTION = 0.1
 EXPOSED_MORE = 40
-# Seconds after which knowledge of decisions is too old to try a version on it.
-HEARD_FOR = 2.5
-# Seconds for which an unknown version waits for the order that explains it: the watches
-# of orders and of upstreams are apart by less.
-UNEXPLAINED_FOR = 2.0
-# Seconds for which work is moved to the new version before the old one is stopped: a
-# decision is known everywhere within 1.3 s, and plain calls are over soon after.
-SHIFT_FOR = 2.0
-# Seconds before the deadline at which the last decision is written.
-MARGIN = 0.5
-# Answers of a new version without which it isn't completed.
-FEWEST_ANSWERS = 10
-# Failures that a version may have for reasons of the day, and answers for which that
-# stands until there are more.
-USUAL_FAILURES = 0.02
+# Age in seconds from which the known decisions are too old to send trial requests.
+MAX_DECISION_AGE = 2.5
+# Seconds for which a new version gets no requests without an order: the watches of
+# orders and of upstreams deliver their changes with a smaller difference.
+UNKNOWN_VERSION_WAIT = 2.0
+# Seconds for which work moves to the new version before the old one is stopped: all
+# instances know a decision within 1.3 s, and calls without a stream end soon after.
+SHIFT_TIME = 2.0
+# Seconds before the deadline at which the final decision is written.
+DEADLINE_MARGIN = 0.5
+# Fewest answers of a new version for which it may be completed.
+MIN_ANSWERS = 10
+# Failure rate that is normal for any version, and the number of answers that this prior
+# counts for.
+BASE_FAILURE_RATE = 0.02
 PRIOR_ANSWERS = 20
-# Chance at which a version is called bad while it is tried, looked at each half second,
-# and at the end.
-BAD_CHANCE = 1e-4
-DOUBTFUL_CHANCE = 0.01
-# Fewest failures that tell something.
-FEWEST_FAILURES = 3
-# Failures from which on a doubt is enough, and at which chance: soon after that many
-# nobody may be sent to a bad version any more.
+# P-values below which a version counts as bad: during the trial, where it is tested
+# every half second, and at the deadline.
+BAD_P_VALUE = 1e-4
+DOUBTFUL_P_VALUE = 0.01
+# Fewest failures on a route for which it is tested.
+MIN_FAILURES = 3
+# Number of failures from which a weaker suspicion suffices, and its p-value: soon after
+# that many failures, no request may be sent to a bad version.
 MANY_FAILURES = 40
-MANY_CHANCE = 0.1
+MANY_FAILURES_P_VALUE = 0.1
 
 
 class RolloutOrder(NamedTuple):
-    """What an operator ordered for a pool; ``seconds`` is how long it may take."""
+    """An operator's order to move a pool to the version ``target`` in some seconds."""
 
     pool: str
     target: str
@@ -71,9 +74,10 @@
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """What was decided of an order, by the order's revision.
+    """Decision on an order; ``order`` is the revision of that order.
 
-    ``began_at`` is the Unix time by all instances' clocks at which it was first seen.
+    ``began_at`` is the Unix time, by the instances' common clock, at which the order
+    was first seen.
     """
 
     order: int
@@ -83,16 +87,17 @@
 
 
 class Answers(NamedTuple):
-    """How many answers there were, and how many of them were bad."""
+    """Number of answers, and how many of them were failed or slow."""
 
     count: int = 0
     bad: int = 0
 
 
 class Rollout(NamedTuple):
-    """An order, its revision, and the decision on it with its key's revision.
+    """An order with its revision, and the decision on it.
 
-    A decision on an older order is None, and its key's revision counts all the same.
+    ``decision`` is None if there is none or if it belongs to an older order;
+    ``decided_at`` is the revision of the decision's key in either case.
     """
 
     order: RolloutOrder
@@ -107,140 +112,142 @@
 
 
 def decode_decision(key, data):
-    """Return the Decision, or raise BadConfiguration."""
+    """Return the Decision stored under a key, or raise BadConfiguration."""
     try:
         decision = msgspec.json.decode(data, type=Decision)
     except msgspec.DecodeError as exc:
         raise BadConfiguration(f"{key}: {exc}") from exc
-    if decision.state not in FOLLOWING:
+    if decision.state not in NEXT_STATES:
         raise BadConfiguration(f"{key}: unknown state {decision.state}")
     return decision
 
 
-def name_answers(pool, version, route, which):
-    """Return under which name instances tell how many answers of a kind they saw."""
+def encode_answer_key(pool, version, route, which):
+    """Return the key under which instances report a number of answers."""
     return msgspec.json.encode((pool, version, route, which)).decode()
 
 
-def measure_chance(answers, usual):
-    """Return the chance of so many bad answers or more at a usual rate of them."""
+def compute_tail_probability(answers, rate):
+    """Return the probability of at least as many bad answers at a given rate."""
     fewer = sum(
-        comb(answers.count, k) * usual**k * (1 - usual) ** (answers.count - k)
+        comb(answers.count, k) * rate**k * (1 - rate) ** (answers.count - k)
         for k in range(answers.bad)
     )
     return max(0.0, 1.0 - fewer)
 
 
-def judge(tried, standing):
-    """Return the chance that a version's answers come of one as good as the other.
+def compute_p_value(tried, current):
+    """Return the p-value of the hypothesis that the new version is no worse.
 
-    Both are Answers by route. The rate of the standing version is taken as high as it
-    was seen, or as is usual: upstreams fail for reasons of the day, and a version isn't
-    to blame for a lossy link. Each route is looked at alone, as a version may be bad on
-    one of them only.
+    ``tried`` and ``current`` hold the Answers of the new and of all other versions by
+    route. The failure rate of the current version is the measured one, but at least
+    BASE_FAILURE_RATE, since a version isn't to blame for, say, a lossy link. Each route
+    is tested separately, as a version may be bad on one route only, and the lowest
+    p-value is returned.
     """
-    chances = [1.0]
+    p_values = [1.0]
     for route, answers in tried.items():
-        if answers.bad < FEWEST_FAILURES:
+        if answers.bad < MIN_FAILURES:
             continue
-        known = standing.get(route, Answers())
-        seen = (known.bad + USUAL_FAILURES * PRIOR_ANSWERS) / (
+        known = current.get(route, Answers())
+        seen = (known.bad + BASE_FAILURE_RATE * PRIOR_ANSWERS) / (
             known.count + PRIOR_ANSWERS
         )
-        chances.append(measure_chance(answers, max(USUAL_FAILURES, seen)))
-    return min(chances)
+        p_values.append(compute_tail_probability(answers, max(BASE_FAILURE_RATE, seen)))
+    return min(p_values)
 
 
-def is_following(decision, state):
-    """Tell whether a state may follow a decision, None for none yet."""
-    return decision is None or state in FOLLOWING[decision.state]
+def may_follow(decision, state):
+    """Return whether a state may follow a decision, which is None if there is none."""
+    return decision is None or state in NEXT_STATES[decision.state]
 
 
 def sum_answers(by_route):
-    """Return the Answers of all routes together."""
+    """Return the sum of the Answers of all routes."""
     return Answers(
         sum(item.count for item in by_route.values()),
         sum(item.bad for item in by_route.values()),
     )
 
 
-def decide(rollout, tried, standing, now):
-    """Return the state that should follow now, or None for no change.
+def decide(rollout, tried, current, now):
+    """Return the next state of a roll-out, or None for no change.
 
-    ``now`` is Unix time by all instances' clocks. A version is completed as late as its
-    deadline allows: one that turns out bad later got its small part until then.
+    ``now`` is Unix time by the instances' common clock. A version is completed as late
+    as its deadline allows, so that a version that turns out bad later has got only its
+    small fraction until then.
     """
     decision = rollout.decision
     if decision is None:
         return RUNNING
-    if not FOLLOWING[decision.state]:
+    if not NEXT_STATES[decision.state]:
         return None
-    chance = judge(tried, standing)
-    many = sum_answers(tried).bad >= MANY_FAILURES
-    if chance < (MANY_CHANCE if many else BAD_CHANCE):
+    p_value = compute_p_value(tried, current)
+    many_failures = sum_answers(tried).bad >= MANY_FAILURES
+    if p_value < (MANY_FAILURES_P_VALUE if many_failures else BAD_P_VALUE):
         return ROLLED_BACK
-    left = decision.began_at + rollout.order.seconds - MARGIN - now
+    left = decision.began_at + rollout.order.seconds - DEADLINE_MARGIN - now
     if left <= 0:
-        enough = sum_answers(tried).count >= FEWEST_ANSWERS
-        return COMPLETED if enough and chance > DOUBTFUL_CHANCE else ROLLED_BACK
-    if decision.state == RUNNING and left <= SHIFT_FOR:
-        return SHIFTING if may_shift(rollout, tried, standing, left, now) else None
+        enough = sum_answers(tried).count >= MIN_ANSWERS
+        return COMPLETED if enough and p_value > DOUBTFUL_P_VALUE else ROLLED_BACK
+    if decision.state == RUNNING and left <= SHIFT_TIME:
+        return SHIFTING if may_shift(rollout, tried, current, left, now) else None
     return None
 
 
-def may_shift(rollout, tried, standing, left, now):
-    """Tell whether all requests may go to the new version until the end.
+def may_shift(rollout, tried, current, left, now):
+    """Return whether all requests may go to the new version until the deadline.
 
-    Guard: a version may turn bad under load, after all looked well. What it gets until
-    the deadline stays within what operators bear, whatever it does.
+    A version may fail under full load after a good trial. The requests that it gets
+    until the deadline must stay within the exposure that operators tolerate.
     """
     count = sum_answers(tried).count
-    if count < FEWEST_ANSWERS or judge(tried, standing) <= DOUBTFUL_CHANCE:
+    if count < MIN_ANSWERS or compute_p_value(tried, current) <= DOUBTFUL_P_VALUE:
         return False
-    asked = count + sum_answers(standing).count
+    asked = count + sum_answers(current).count
     rate = asked / max(1.0, now - rollout.decision.began_at)
-    more = rate * (left + MARGIN)
-    return count + more <= EXPOSED_PART * (asked + more) + EXPOSED_MORE
+    more = rate * (left + DEADLINE_MARGIN)
+    return count + more <= EXPOSED_FRACTION * (asked + more) + EXPOSED_MORE
 
 
 class Rollouts:
-    """State of all orders at one instance; times are seconds on one clock.
+    """State of all roll-outs at one instance; times are seconds on one clock.
 
-    ``answers`` are what this instance saw since its start, by name_answers, and
-    ``heard`` what all others did.
+    ``answers`` holds the number of answers that this instance saw since its start, by
+    encode_answer_key, and ``heard`` those of all other instances.
     """
 
     def __init__(self):
         self.open = {}
         self.answers = {}
         self.heard = {}
-        # Who told the others' totals last, and what they were.
-        self._told = (None, {})
-        # When the decisions were last known to be those of the store.
+        # The last report of the other instances' totals: its source and the totals.
+        self._last_report = (None, {})
+        # When the known decisions were last up to date with the store.
         self.as_of = float("-inf")
         self._decisions = {}
-        # When each version of a pool was first seen.
+        # When each version was first seen, by pool and version.
         self._seen = {}
 
     def note_version(self, pool, version, now):
-        """Take note that an upstream of a pool has a version."""
+        """Record that an upstream of a pool has a version."""
         seen = self._seen.setdefault(pool, {})
-        # Those that stand before any request came are nobody's trial.
+        # The first version of a pool is not a trial.
         seen.setdefault(version, now if seen else float("-inf"))
 
     def put_order(self, order, revision):
-        """Take an operator's order; a newer one takes the place of the last."""
+        """Store an operator's order, unless a newer one for its pool is known."""
         known = self.open.get(order.pool)
         if known is None or known.revision < revision:
             self.open[order.pool] = Rollout(order, revision)
-            self._join(order.pool)
+            self._update_rollout(order.pool)
 
     def put_decision(self, pool, decision, revision):
-        """Take what the store has of the decisions on a pool, None for nothing."""
+        """Store a pool's decision as it is in the store, or None if there is none."""
         self._decisions[pool] = (decision, revision)
-        self._join(pool)
+        self._update_rollout(pool)
 
-    def _join(self, pool):
+    def _update_rollout(self, pool):
         rollout = self.open.get(pool)
         if rollout is None:
             return
@@ -250,82 +257,83 @@
         self.open[pool] = rollout._replace(decision=decision, decided_at=decided_at)
 
     def list_excluded(self, pool, stations, drawn, now):
-        """Return the names of the stations that a request may not go to.
+        """Return the names of the upstreams that a request must not be sent to.
 
-        ``drawn`` is a number from 0 to 1, drawn for the request, or None for another
-        attempt of it: that isn't a trial.
+        ``drawn`` is a random number from 0 to 1 for the request, or None for a retry,
+        which is never part of a trial.
         """
         rollout, seen = self.open.get(pool), self._seen.get(pool, {})
         if rollout is None and len(seen) < 2:
             return frozenset()
-        allowed = self._find_allowed(rollout, seen, drawn, now)
+        allowed = self._make_version_filter(rollout, seen, drawn, now)
         names = {n for n, s in stations.items() if not allowed(s.registration.version)}
-        refused = rollout is not None and self._state(rollout) == ROLLED_BACK
+        refused = rollout is not None and self._get_state(rollout) == ROLLED_BACK
         if len(names) == len(stations) and not refused:
             return frozenset()
         return frozenset(names)
 
-    def _state(self, rollout):
+    def _get_state(self, rollout):
         return rollout.decision.state if rollout.decision else RUNNING
 
-    def _find_allowed(self, rollout, seen, drawn, now):
-        """Return the function that tells whether a version may take the request."""
+    def _make_version_filter(self, rollout, seen, drawn, now):
+        """Return a function that returns whether a version may serve the request."""
         if rollout is None:
-            return lambda version: now - seen.get(version, now) >= UNEXPLAINED_FOR
-        target, state = rollout.order.target, self._state(rollout)
-        heard = now - self.as_of <= HEARD_FOR
-        if state == COMPLETED or (state == SHIFTING and heard):
+            return lambda version: now - seen.get(version, now) >= UNKNOWN_VERSION_WAIT
+        target, state = rollout.order.target, self._get_state(rollout)
+        up_to_date = now - self.as_of <= MAX_DECISION_AGE
+        if state == COMPLETED or (state == SHIFTING and up_to_date):
             return lambda version: version == target
-        trial = state == RUNNING and heard and drawn is not None
-        if trial and drawn < TRIAL_PART:
+        trial = state == RUNNING and up_to_date and drawn is not None
+        if trial and drawn < TRIAL_FRACTION:
             return lambda version: version == target
         return lambda version: version != target
 
     @property
     def undecided(self):
-        """Tell whether any order waits for its end."""
-        return any(FOLLOWING[self._state(item)] for item in self.open.values())
+        """Return whether any order has no final decision yet."""
+        return any(NEXT_STATES[self._get_state(item)] for item in self.open.values())
 
     def is_watched(self, pool):
-        """Tell whether answers of a pool are evidence of an open order."""
+        """Return whether a pool has an order without a final decision."""
         rollout = self.open.get(pool)
-        return rollout is not None and bool(FOLLOWING[self._state(rollout)])
+        return rollout is not None and bool(NEXT_STATES[self._get_state(rollout)])
 
     def hear(self, source, answers):
-        """Take the others' totals, as one process adds them up.
+        """Add the other instances' new answers, from the totals of one source.
 
-        Guard: a process that begins to add up leaves out what was before, and two don't
-        agree on it. Only what is gained between two words of one of them counts; taken
-        as they stand, totals would jump, and a version be judged by old answers.
+        A process that starts to add up totals doesn't know the earlier ones, and two
+        such processes don't agree. So only the increase between two reports of the
+        same source counts; otherwise the totals would jump and a version would be
+        evaluated by old answers.
         """
-        known, before = self._told
-        self._told = (source, answers)
-        if source == known:
-            grow(self.heard, before, answers, 1.0)
+        last_source, last_answers = self._last_report
+        self._last_report = (source, answers)
+        if source == last_source:
+            grow(self.heard, last_answers, answers, 1.0)
 
     def note_answer(self, pool, version, route, bad):
-        """Count one answer."""
+        """Count one answer of a version; ``bad`` if it failed or was too slow."""
         for which in (ALL, BAD) if bad else (ALL,):
-            name = name_answers(pool, version, route, which)
+            name = encode_answer_key(pool, version, route, which)
             self.answers[name] = self.answers.get(name, 0.0) + 1
 
 
 def split_answers(answers, rollout):
-    """Return the Answers by route of the target and of all other versions."""
-    tried, standing = {}, {}
+    """Return the Answers by route: of the target, and of all other versions."""
+    tried, current = {}, {}
     for name, number in answers.items():
         pool, version, route, which = msgspec.json.decode(name)
         if pool != rollout.order.pool:
             continue
-        side = tried if version == rollout.order.target else standing
+        side = tried if version == rollout.order.target else current
         known = side.get(route, Answers())._asdict()
         known[which] += round(number)
         side[route] = Answers(**known)
-    return tried, standing
+    return tried, current
 
 
-def write_decision(rollout, decision, status):
-    """Return the Commit of a decision; ``status`` is the operator's put of it."""
+def make_commit(rollout, decision, status):
+    """Return the Commit of a decision; ``status`` is the put of the order's status."""
     key = DECISIONS + rollout.order.pool
     return Commit(
         expect=((key, rollout.decided_at),),
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""A new version of upstreams on trial, drawn at random and without a network."""
+"""Roll-outs of new versions, in simulations with random failures and no network."""
 
 import random
 import unittest
@@ -8,8 +8,8 @@
 from chervilwing.registrations import Registration
 from chervilwing.rollouts import (
     COMPLETED,
-    FOLLOWING,
-    HEARD_FOR,
+    MAX_DECISION_AGE,
+    NEXT_STATES,
     ROLLED_BACK,
     RUNNING,
     SHIFTING,
@@ -17,23 +17,24 @@
     Decision,
     RolloutOrder,
     Rollouts,
+    compute_p_value,
     decide,
-    judge,
     split_answers,
 )
 
-# What operators bear of a bad version: a tenth of all requests, and as many more.
-BORNE_PART, BORNE_MORE = 0.1, 50
-# Seconds after the 50th bad answer from which a bad version gets nothing any more.
+# Requests that operators tolerate at a bad version: a tenth of all, and 50 more.
+TOLERATED_FRACTION, TOLERATED_MORE = 0.1, 50
+# Seconds after the 50th bad answer from which a bad version gets no requests.
 ROLLED_BACK_IN = 5.0
-# Seconds until all instances hear of a decision, and until its holder hears of answers.
+# Seconds until all instances know a decision, and until the holder of the duties knows
+# the answers.
 DECISION_AGE, ANSWER_AGE = 1.3, 1.2
-LOOK_EVERY = 0.5
+EVALUATE_INTERVAL = 0.5
 ORDER = RolloutOrder("engines", "v2", 12.0)
 
 
 def make_stations(versions):
-    """Return stations by name, of these versions."""
+    """Return upstreams by name, one of each of these versions."""
     stations = {}
     for number, version in enumerate(versions):
         name = f"u{number}"
@@ -49,7 +50,7 @@
 
 
 def make_rollouts(state=None, now=0.0):
-    """Return what an instance knows while the target's upstreams stand."""
+    """Return the Rollouts of an instance that knows both versions and an order."""
     rollouts = Rollouts()
     rollouts.note_version("engines", "v1", -100.0)
     rollouts.note_version("engines", "v2", -50.0)
@@ -60,17 +61,17 @@
     return rollouts
 
 
-class TestWhoMayGoWhere(unittest.TestCase):
+class TestExcludedUpstreams(unittest.TestCase):
     def expect(self, state, drawn, excluded, now=0.0):
         rollouts = make_rollouts(state)
         found = rollouts.list_excluded("engines", STATIONS, drawn, now)
         self.assertEqual(found, excluded)
 
-    def test_each_state_sends_requests_where_they_belong(self):
+    def test_each_state_excludes_the_right_versions(self):
         for state, drawn, excluded in (
             (RUNNING, 0.01, OLD),
             (RUNNING, 0.5, NEW),
-            # Another attempt of a request is no trial.
+            # A retry is never part of a trial.
             (RUNNING, None, NEW),
             (None, 0.5, NEW),
             (SHIFTING, 0.5, OLD),
@@ -80,35 +81,35 @@
             with self.subTest(state=state, drawn=drawn):
                 self.expect(state, drawn, excluded)
 
-    def test_who_hears_nothing_tries_nothing(self):
-        # An instance is cut off from the store while a version turns out bad. Nobody
-        # tells it that the version was rolled back, and it would go on to use it.
-        later = HEARD_FOR + 0.1
+    def test_an_instance_without_news_sends_no_trial_requests(self):
+        # An instance that is cut off from the store doesn't learn that a version was
+        # rolled back, and would go on sending requests to it.
+        later = MAX_DECISION_AGE + 0.1
         for state in (RUNNING, SHIFTING):
             self.expect(state, 0.01, NEW, now=later)
 
-    def test_a_bad_version_gets_nothing_though_it_stands_alone(self):
+    def test_a_rolled_back_version_gets_nothing_even_if_it_is_the_only_one(self):
         rollouts = make_rollouts(ROLLED_BACK)
         alone = make_stations(["v2"])
         found = rollouts.list_excluded("engines", alone, 0.01, 0.0)
         self.assertEqual(found, {"u0"})
 
-    def test_an_unknown_version_waits_for_the_order_that_explains_it(self):
-        # The watch of upstreams brings the new version before the watch of orders
-        # brings the order: for a second it would get as much as any other.
+    def test_a_new_version_without_an_order_gets_no_requests_at_first(self):
+        # The watch of upstreams may deliver the new version before the watch of orders
+        # delivers the order; for a second it would get as many requests as any other.
         rollouts = Rollouts()
         rollouts.note_version("engines", "v1", 0.0)
         rollouts.note_version("engines", "v2", 60.0)
-        held = rollouts.list_excluded("engines", STATIONS, 0.5, 61.0)
-        free = rollouts.list_excluded("engines", STATIONS, 0.5, 63.0)
-        self.assertEqual((held, free), (NEW, frozenset()))
+        at_first = rollouts.list_excluded("engines", STATIONS, 0.5, 61.0)
+        later = rollouts.list_excluded("engines", STATIONS, 0.5, 63.0)
+        self.assertEqual((at_first, later), (NEW, frozenset()))
 
-    def test_where_nothing_is_tried_nothing_is_left_out(self):
+    def test_without_a_roll_out_no_upstream_is_excluded(self):
         rollouts = Rollouts()
         rollouts.note_version("engines", "v1", 0.0)
         self.assertEqual(rollouts.list_excluded("engines", STATIONS, 0.0, 0.0), set())
 
-    def test_an_order_for_the_version_in_force_leaves_nothing_out(self):
+    def test_an_order_for_the_current_version_excludes_nothing(self):
         rollouts = make_rollouts()
         same = make_stations(["v2"] * 3)
         for drawn in (0.01, 0.5):
@@ -116,59 +117,60 @@
             self.assertEqual(found, set())
 
 
-class TestOneWay(unittest.TestCase):
-    def test_no_decision_is_taken_back(self):
+class TestOrderOfStates(unittest.TestCase):
+    def test_a_final_decision_is_never_changed(self):
         for state in (COMPLETED, ROLLED_BACK):
             rollout = make_rollouts(state).open["engines"]
             for now in (1.0, 11.6, 60.0):
                 found = decide(rollout, {"r": Answers(9, 9)}, {}, now)
                 self.assertIsNone(found)
 
-    def test_a_newer_order_begins_anew(self):
+    def test_a_newer_order_starts_from_the_first_state(self):
         rollouts = make_rollouts(ROLLED_BACK)
         rollouts.put_order(ORDER._replace(target="v3"), 20)
         rollout = rollouts.open["engines"]
         self.assertEqual(decide(rollout, {}, {}, 30.0), RUNNING)
-        # The write replaces the decision on the older one.
+        # The next write replaces the decision on the older order.
         self.assertEqual(rollout.decided_at, 9)
 
-    def test_an_order_that_is_heard_late_again_changes_nothing(self):
+    def test_a_repeated_order_changes_nothing(self):
         rollouts = make_rollouts(ROLLED_BACK)
         rollouts.put_order(ORDER, 7)
         self.assertEqual(rollouts.open["engines"].decision.state, ROLLED_BACK)
 
-    def test_without_answers_a_version_isn_t_completed(self):
+    def test_a_version_without_answers_is_not_completed(self):
         rollout = make_rollouts(RUNNING).open["engines"]
         self.assertEqual(decide(rollout, {}, {}, 11.9), ROLLED_BACK)
 
 
-class TestHearing(unittest.TestCase):
-    def test_totals_of_another_source_are_no_answers(self):
-        # The leader dies, and the next one adds up from nothing: its totals are lower,
-        # or begin below zero, and then grow by what is really seen.
+class TestReports(unittest.TestCase):
+    def test_totals_of_a_new_source_are_not_counted_as_answers(self):
+        # When the leader fails, the next one starts its totals anew: they are lower, or
+        # begin below zero, and then grow by the answers actually seen.
         rollouts = make_rollouts()
         for source, total in (("a", 40.0), ("a", 44.0), ("b", -7.0), ("b", -4.0)):
             rollouts.hear(source, {"x": total})
         self.assertEqual(rollouts.heard, {"x": 7.0})
 
 
-class TestJudgement(unittest.TestCase):
-    def test_a_version_isn_t_blamed_for_what_the_other_fails_in_too(self):
-        # One kind of request fails in a seventh of all cases whoever answers it.
-        standing = {"pdf": Answers(400, 56), "note": Answers(900, 3)}
-        self.assertGreater(judge({"pdf": Answers(40, 9)}, standing), 0.01)
-        self.assertLess(judge({"note": Answers(40, 9)}, standing), 1e-4)
+class TestPValue(unittest.TestCase):
+    def test_failures_that_the_current_version_has_too_are_not_blamed(self):
+        # One kind of request fails in a seventh of all cases with any version.
+        current = {"pdf": Answers(400, 56), "note": Answers(900, 3)}
+        self.assertGreater(compute_p_value({"pdf": Answers(40, 9)}, current), 0.01)
+        self.assertLess(compute_p_value({"note": Answers(40, 9)}, current), 1e-4)
 
-    def test_one_bad_route_is_enough(self):
-        standing = {"pdf": Answers(400, 0), "note": Answers(4000, 0)}
+    def test_a_single_bad_route_is_detected(self):
+        current = {"pdf": Answers(400, 0), "note": Answers(4000, 0)}
         tried = {"pdf": Answers(20, 8), "note": Answers(400, 0)}
-        self.assertLess(judge(tried, standing), 1e-4)
+        self.assertLess(compute_p_value(tried, current), 1e-4)
 
 
-class Play:
-    """One drawn roll-out before several instances, to its deadline and beyond it.
+class Simulation:
+    """A random roll-out with several instances, until a second after its deadline.
 
-    ``fails(age, drawn)`` tells whether the new version answers a request badly.
+    ``fails(age, drawn)`` returns whether the new version answers a request badly at an
+    age in seconds, for a random number from 0 to 1.
     """
 
     def __init__(self, seed, instances, fails):
@@ -182,14 +184,14 @@
         for rollouts in self.all:
             rollouts.open.clear()
             rollouts.put_order(self.order, 7)
-        self.asked = self.exposed = self.bad = 0
-        self.fiftieth = None
-        self.after = 0
+        self.requests = self.exposed = self.bad = 0
+        self.fiftieth_at = None
+        self.late_requests = 0
         self.state = None
 
     def run(self):
-        """Play in steps of a tenth of a second."""
-        heard, words, due = {}, [], []
+        """Run the roll-out in steps of a tenth of a second."""
+        answers, reports, due = {}, [], []
         for step in range(int((self.order.seconds + 1.0) * 10)):
             now = step / 10
             for at, decision in [item for item in due if item[0] <= now]:
@@ -197,11 +199,11 @@
                     rollouts.put_decision("engines", decision, int(at * 10))
             due = [item for item in due if item[0] > now]
             self._ask(now)
-            words.append((now, self._sum()))
-            while words and now - words[0][0] >= ANSWER_AGE:
-                heard = words.pop(0)[1]
-            if step % int(LOOK_EVERY * 10) == 0:
-                self._look(heard, due, now)
+            reports.append((now, self._sum()))
+            while reports and now - reports[0][0] >= ANSWER_AGE:
+                answers = reports.pop(0)[1]
+            if step % int(EVALUATE_INTERVAL * 10) == 0:
+                self._evaluate(answers, due, now)
         return self
 
     def _ask(self, now):
@@ -216,17 +218,17 @@
             if tried:
                 bad = bad or self.fails(now, self.rng.random())
                 self._expose(bad, now)
-            self.asked += now <= self.order.seconds
+            self.requests += now <= self.order.seconds
             version = "v2" if tried else "v1"
             rollouts.note_answer("engines", version, "r", bad)
 
     def _expose(self, bad, now):
         self.exposed += now <= self.order.seconds
         self.bad += bad
-        if self.bad == 50 and self.fiftieth is None:
-            self.fiftieth = now
-        late = self.fiftieth is not None and now > self.fiftieth + ROLLED_BACK_IN
-        self.after += late
+        if self.bad == 50 and self.fiftieth_at is None:
+            self.fiftieth_at = now
+        late = self.fiftieth_at is not None and now > self.fiftieth_at + ROLLED_BACK_IN
+        self.late_requests += late
 
     def _sum(self):
         total = {}
@@ -235,12 +237,12 @@
                 total[name] = total.get(name, 0.0) + number
         return total
 
-    def _look(self, heard, due, now):
+    def _evaluate(self, answers, due, now):
         decision = self.state and Decision(7, "v2", self.state, 0.0)
         rollout = self.all[0].open["engines"]._replace(decision=decision)
-        state = decide(rollout, *split_answers(heard, rollout), now)
+        state = decide(rollout, *split_answers(answers, rollout), now)
         if state is not None:
-            assert self.state is None or state in FOLLOWING[self.state]
+            assert self.state is None or state in NEXT_STATES[self.state]
             self.state = state
             due.append((now + DECISION_AGE, Decision(7, "v2", state, 0.0)))
 
@@ -252,22 +254,25 @@
 }
 
 
-class TestDrawnRollouts(unittest.TestCase):
-    def test_bad_versions_stay_within_what_is_borne(self):
-        # A part of a new version's answers fail or are slow, at once or later. Each
-        # instance sees a few of them only, and more instances must not mean more harm.
+class TestRandomRollouts(unittest.TestCase):
+    def test_bad_versions_stay_within_the_tolerated_exposure(self):
+        # Some answers of a new version fail or are slow, at once or later. Each
+        # instance sees only a few of them, and more instances must not increase the
+        # exposure.
         for instances in (8, 73, 320):
             for name, fails in BAD.items():
                 for seed in range(6):
-                    play = Play(seed, instances, fails).run()
+                    run = Simulation(seed, instances, fails).run()
                     with self.subTest(instances=instances, name=name, seed=seed):
-                        borne = BORNE_PART * play.asked + BORNE_MORE
-                        self.assertLessEqual(play.exposed, borne)
-                        self.assertEqual(play.after, 0)
-                        self.assertEqual(play.state, ROLLED_BACK)
+                        tolerated = TOLERATED_FRACTION * run.requests + TOLERATED_MORE
+                        self.assertLessEqual(run.exposed, tolerated)
+                        self.assertEqual(run.late_requests, 0)
+                        self.assertEqual(run.state, ROLLED_BACK)
 
     def test_good_versions_are_completed(self):
-        states = [Play(s, 8, lambda now, drawn: False).run().state for s in range(60)]
+        states = [
+            Simulation(s, 8, lambda now, drawn: False).run().state for s in range(60)
+        ]
         self.assertGreaterEqual(states.count(COMPLETED), 59)
 
 
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -428,13 +428,25 @@
     ),
     Weakness(
         "who hears nothing goes on to try a version",
-        (Edit("rollouts", "heard = now - self.as_of <= HEARD_FOR", "heard = True"),),
-        (ROLLOUTS + "TestWhoMayGoWhere.test_who_hears_nothing_tries_nothing",),
+        (
+            Edit(
+                "rollouts",
+                "up_to_date = now - self.as_of <= MAX_DECISION_AGE",
+                "up_to_date = True",
+            ),
+        ),
+        (
+            ROLLOUTS + "TestExcludedUpstreams"
+            ".test_an_instance_without_news_sends_no_trial_requests",
+        ),
     ),
     Weakness(
         "a new version gets as much as it has upstreams",
-        (Edit("rollouts", "TRIAL_PART = 0.04", "TRIAL_PART = 0.5"),),
-        (ROLLOUTS + "TestDrawnRollouts.test_bad_versions_stay_within_what_is_borne",),
+        (Edit("rollouts", "TRIAL_FRACTION = 0.04", "TRIAL_FRACTION = 0.5"),),
+        (
+            ROLLOUTS
+            + "TestRandomRollouts.test_bad_versions_stay_within_the_tolerated_exposure",
+        ),
     ),
     Weakness(
         "a leader that leads again tells of old work",
