--- a/src/chervilwing/balancing.py
+++ b/src/chervilwing/balancing.py
@@ -1,9 +1,8 @@
 """Choose the upstream of a pool that is expected to answer a request first.
 
-Load reports from the upstreams themselves would arrive late and be the same for every
-instance, so that all instances would pick the same upstream. Instead each instance adds
-up the requests it has in flight itself and those that the other instances last
-reported.
+Load reports are outdated when they arrive, and all instances receive the same ones, so
+that all would choose the same upstream. Therefore each instance adds the requests that
+it has in flight itself to those that the other instances last reported.
 """
 
 from heapq import nlargest
@@ -19,6 +18,7 @@
 # Prompt tokens per second that an engine reads while it also generates; the value used
 # until about twenty answers have been measured.
 INITIAL_PREFILL_RATE = 34_000.0
+# Bounds of the measured rate, in tokens per second.
 MIN_PREFILL_RATE = 4_000.0
 MAX_PREFILL_RATE = 200_000.0
 # An engine with fewer requests than this and no waiting prompt is lightly loaded: its
@@ -157,13 +157,15 @@
 
         See PEER_PREFILL_WEIGHT.
         """
-        found = {name: loads.get(name, NOTHING) for name in self.stations}
-        mean = sum(load.prefill for load in found.values()) / max(1, len(found))
+        station_loads = {name: loads.get(name, NOTHING) for name in self.stations}
+        mean = sum(load.prefill for load in station_loads.values()) / max(
+            1, len(station_loads)
+        )
         return {
             name: load._replace(
                 prefill=round(mean + PEER_PREFILL_WEIGHT * (load.prefill - mean))
             )
-            for name, load in found.items()
+            for name, load in station_loads.items()
         }
 
     def learn(self, placements):
@@ -218,8 +220,8 @@
         load = station.count(now, placing)
         if self.traits.engine is None:
             slots = max(1, station.registration.slots)
-            turns = (load.requests + 1) / slots
-            seconds = self.service_time.estimate(now) * max(1.0, turns)
+            rounds = (load.requests + 1) / slots
+            seconds = self.service_time.estimate(now) * max(1.0, rounds)
             return Estimate(seconds, 0)
         cached, fetched, source = self._plan_fetch(station, prefixes)
         prefill = max(0, demand.prompt_tokens - cached - fetched)
@@ -240,8 +242,8 @@
         all answers would start late and the engines' work would be wasted; so no queue
         may grow beyond what that target allows. The bound is the same for requests of
         all kinds and sizes: a longer queue for some would leave no room for the rest.
-        Returns False if the request was not placed by a placer, as the queue lengths
-        are not known well enough then.
+        Return False if the request was not placed by a placer, as the queue lengths are
+        not known well enough then.
         """
         if self.traits.engine is None or not estimate.placer:
             return False
@@ -349,13 +351,13 @@
 
     def start(self, station, demand, now):
         """Record an answer's first byte; return whether it is the first such call."""
-        return self._measure(station.ledger.start(demand.request_id), now)
+        return self._update_speed(station.ledger.start(demand.request_id), now)
 
     def start_placed(self, station, key, now):
         """Record the first byte of an answer to another instance's request."""
-        return self._measure(station.placed.start(key), now)
+        return self._update_speed(station.placed.start(key), now)
 
-    def _measure(self, sent, now):
+    def _update_speed(self, sent, now):
         """Update the measured speed from a request whose prompt was just read.
 
         Return False, and change nothing, if ``sent`` is None.
--- a/src/chervilwing/crash_saver.py
+++ b/src/chervilwing/crash_saver.py
@@ -1,25 +1,25 @@
-"""Keep in the store which requests crash upstreams, for instances that start later."""
+"""Store crashes of upstreams, so that instances that start later know them."""
 
 from circuits.core import BaseComponent, handler
 
 from .clocks import read_boottime
-from .crashes import KEPT
+from .crashes import SUSPECTED_FOR
 from .items import Commit, Committed, Leased, TakeLease
 from .logs import log_event
 from .stored_crashes import encode_crash
 
-# Seconds after a write that failed until the next.
-SAVE_AGAIN = 1.0
-# Seconds for which a lease is used for further crashes.
-LEASE_USED_FOR = 60.0
+# Seconds after a failed write until the next attempt.
+RETRY_AFTER = 1.0
+# Seconds for which a lease is used for the writes of further crashes.
+REUSE_LEASE_FOR = 60.0
 
 
 class CrashSaver(BaseComponent):
-    """Write the crashes that this instance's group saw, one call at a time.
+    """Write the crashes that this instance's group detected, one call at a time.
 
-    ``leads`` tells whether this instance leads the group. Guard: all instances end at
-    the same moment, or one starts that never saw a crash. With what they knew in memory
-    only, a crashing request would end as many upstreams again after each such start.
+    ``leads`` returns whether this instance leads its group. If the crashes were kept in
+    memory only, a crashing request could crash as many upstreams again whenever all
+    instances restart together or a new one starts.
     """
 
     channel = "crash-saver"
@@ -32,7 +32,7 @@
         self._lease = 0
         self._lease_until = 0.0
         self._busy = False
-        self._due = 0.0
+        self._next_write = 0.0
 
     @handler("tick", channel="*")
     def _on_tick(self):
@@ -40,23 +40,25 @@
         if not self._leads():
             self._stored.drop_writes(now)
             return
-        if self._busy or now < self._due:
+        if self._busy or now < self._next_write:
             return
-        write = self._stored.take_write(now)
+        write = self._stored.pop_write(now)
         if write is None:
             return
         self._busy = True
         if now < self._lease_until:
             self._write(write)
             return
-        self._store.submit(TakeLease(KEPT), lambda reply: self._leased(write, reply))
+        self._store.submit(
+            TakeLease(SUSPECTED_FOR), lambda reply: self._leased(write, reply)
+        )
 
     def _leased(self, write, reply):
         if not isinstance(reply, Leased):
             self._fail(write, reply)
             return
         self._lease = reply.lease
-        self._lease_until = read_boottime() + LEASE_USED_FOR
+        self._lease_until = read_boottime() + REUSE_LEASE_FOR
         self._write(write)
 
     def _write(self, write):
@@ -78,11 +80,11 @@
         log_event("crash stored", upstream=write.crash.upstream, suspected=count)
 
     def _fail(self, write, reply):
-        """Try again later; what was written all the same is written once more."""
+        """Schedule the write again; a write that did succeed is simply repeated."""
         now = read_boottime()
         self._busy = False
-        self._due = now + SAVE_AGAIN
+        self._next_write = now + RETRY_AFTER
         self._lease_until = 0.0
-        self._stored.return_write(write, now)
+        self._stored.requeue_write(write, now)
         upstream = write.crash.upstream
         log_event("crash not stored", upstream=upstream, reply=repr(reply))
--- a/src/chervilwing/crash_watch.py
+++ b/src/chervilwing/crash_watch.py
@@ -1,7 +1,7 @@
-"""Find out which upstreams crashed, and what they were running.
+"""Detection of upstreams that crashed, and of the requests they were running.
 
-A broken connection alone proves no crash: a link may have reset it. A crashed upstream
-refuses the next connection as well, within a round trip.
+A broken connection alone doesn't prove a crash, as a link may have reset it. A crashed
+upstream also refuses the next connection, within a round trip.
 """
 
 from collections import OrderedDict, deque
@@ -15,50 +15,51 @@
 from .logs import log_event
 from .sockets import StreamHandlers, Streams
 
-# Seconds that a connection may take to open; one that takes longer proves nothing.
+# Seconds that a probe's connection may take to open; a longer time proves nothing.
 CONNECT_TIMEOUT = 0.6
-# Seconds for which an attempt whose caller left may still crash its upstream, and be
-# found out when the upstream's registration lapses: three heartbeats, and the news.
-LEFT_FOR = 8.0
-# Such attempts kept, the latest.
-MOST_LEFT = 512
+# Seconds for which an attempt whose caller left is remembered. It may still crash its
+# upstream, which is noticed when the registration lapses: three heartbeats later, plus
+# the time until that is known.
+ABANDONED_FOR = 8.0
+# Number of latest such attempts that are kept.
+MAX_ABANDONED = 512
 # Heartbeats after which the registration of a crashed upstream lapses, and seconds
-# until that is known everywhere.
-HEARTBEATS = 3
-KNOWN_AFTER = 4.0
-# Seconds between two looks for registrations that still stand.
-LOOK_EVERY = 0.5
-# Upstreams asked at once. Load: a rack of them crashes. Harm: a socket for each.
-MOST_PROBES = 64
-# Crashed upstreams kept, the latest.
-MOST_CRASHED = 256
+# until all instances know that it has lapsed.
+LAPSE_HEARTBEATS = 3
+LAPSE_KNOWN_AFTER = 4.0
+# Seconds between two checks for crashed upstreams that are still registered.
+CHECK_INTERVAL = 0.5
+# Number of concurrent probes; each takes a socket, and a whole rack may crash at once.
+MAX_PROBES = 64
+# Number of latest crashed upstreams that are kept.
+MAX_CRASHED = 256
 REFUSED = (ConnectionRefusedError, ConnectionResetError)
 
 
-class LeftAttempt(NamedTuple):
-    """An attempt that was given up on while an upstream may have run it."""
+class AbandonedAttempt(NamedTuple):
+    """An attempt that was abandoned while the upstream may still run it."""
 
     upstream: str
     fingerprint: str
     at: float
 
 
-class Returns(NamedTuple):
-    """How often an upstream came back under the name it had, and when last."""
+class Restarts(NamedTuple):
+    """How often an upstream restarted under the same name, and when last."""
 
     count: int = 0
     at: float = float("-inf")
 
 
 class Probe(NamedTuple):
-    """A connection that shows whether an upstream goes on."""
+    """A connection attempt that shows whether an upstream is running."""
 
     upstream: str
     at: float
 
 
 class CrashWatch(BaseComponent):
-    """Suspect what was in flight at upstreams that crashed; see CrashRecords."""
+    """Suspect the requests in flight at crashed upstreams; see CrashRecords."""
 
     channel = "crash-watch"
 
@@ -66,118 +67,119 @@
         super().__init__()
         self._gateway = gateway
         self._client = client
-        self._look_at = 0.0
+        self._next_check = 0.0
         self._records = gateway.crashes
-        self._left_attempts = deque(maxlen=MOST_LEFT)
-        # Assumed suspicions by the upstream that is asked.
+        self._abandoned = deque(maxlen=MAX_ABANDONED)
+        # Assumed suspicions by the upstream that is probed.
         self._assumed = {}
-        # When upstreams crashed, the latest ones.
+        # Times of the latest crashes by upstream.
         self._crashed = OrderedDict()
-        # Returns by upstream, of the latest ones.
-        self._returns = OrderedDict()
+        # Restarts by upstream, of those that restarted last.
+        self._restarts = OrderedDict()
         self._probes = {}
         handlers = StreamHandlers(self._opened, self._received, self._closed)
         self._streams = Streams(poller, handlers, "crash-probes").register(self)
 
     @property
-    def asks(self):
-        """Tell whether any upstream has yet to answer a probe."""
+    def is_probing(self):
+        """Return whether any probe is still open."""
         return bool(self._probes)
 
     def note_broken(self, relay, now):
-        """Take note that an attempt's connection broke off before its answer's end."""
+        """Handle an attempt whose connection broke off before the answer's end."""
         registration = relay.station.registration
-        if relay.sent_at < self._find_returns(registration.name).at:
-            # It broke off with the process before, which was seen to crash.
+        if relay.sent_at < self._get_restarts(registration.name).at:
+            # The previous process ran it, whose crash is recorded already.
             return
         crashed_at = self._crashed.get(registration.name)
         if crashed_at is not None:
-            # What was sent to it afterwards can't be the cause.
+            # Requests that were sent after the crash can't be its cause.
             if relay.sent_at < crashed_at:
-                crash = self._name_crash(registration.name)
+                crash = self._make_crash_id(registration.name)
                 self._records.prove(Suspicion(relay.fingerprint, crash), now)
         elif not registration.leaving:
-            # A leaving one ends when its time is over, whatever it runs.
-            self._ask(registration, now)
+            # A leaving upstream ends when its time is over, whatever it runs.
+            self._start_probe(registration, now)
 
     def note_answered(self, relay):
-        """Take note that an upstream answers: it goes on, or one that crashed is back.
+        """Record that an upstream answers: it is running, or has restarted.
 
-        Upstreams of a file keep their names when they start again. Others have a name
-        for one life, and have not crashed if they answer after it was said.
+        Upstreams from a routes file keep their names over restarts. Other upstreams get
+        a new name at each start, so one that answers after a reported crash has not
+        crashed.
         """
         name = relay.station.registration.name
         if self._gateway.cfg.routes:
-            self._note_return(name)
+            self._record_restart(name)
             return
         if relay.sent_at > self._crashed.get(name, float("inf")):
             del self._crashed[name]
-        self._records.note_alive(name, relay.sent_at, read_boottime())
+        self._records.record_alive(name, relay.sent_at, read_boottime())
 
     def note_left(self, relay, now):
-        """Take note that an attempt is given up on while it may run."""
+        """Record that an attempt is abandoned while the upstream may run it."""
         if relay.call is not None and relay.call.conn.sent:
             name = relay.station.registration.name
-            self._left_attempts.append(LeftAttempt(name, relay.fingerprint, now))
+            self._abandoned.append(AbandonedAttempt(name, relay.fingerprint, now))
 
     def note_gone(self, registration, now):
-        """Take note that an upstream's registration is gone without a notice."""
+        """Handle a vanished registration: probe the upstream if it wasn't leaving."""
         if not registration.leaving and registration.name not in self._crashed:
-            self._ask(registration, now)
+            self._start_probe(registration, now)
 
     def note_restarted(self, registration, now):
-        """Take note that an upstream has started again under its name."""
+        """Handle an upstream's restart under the same name, which proves a crash."""
         name = registration.name
         suspicions = self._list_in_flight(name, now)
         if suspicions and not registration.leaving and name not in self._crashed:
             self._prove(name, suspicions)
-        self._note_return(name)
+        self._record_restart(name)
 
-    def acquit_registered(self, now):
-        """Take back the crashes of upstreams whose registrations still stand.
+    def clear_registered(self, now):
+        """Withdraw the crashes of upstreams that are still registered.
 
-        Guard: an upstream may refuse connections for another reason, being full. Where
-        everything that its pool is asked for is barred, no answer would show it.
+        An upstream may refuse connections because it is full. If all requests of its
+        pool are barred, no answer would show that it is running.
         """
         cfg = self._gateway.cfg
-        lapsed_at = now - cfg.heartbeat * HEARTBEATS - KNOWN_AFTER
+        lapsed_at = now - cfg.heartbeat * LAPSE_HEARTBEATS - LAPSE_KNOWN_AFTER
         if cfg.routes or self._gateway.registrations_since() > lapsed_at:
             return
         for name in self._records.list_crashed(lapsed_at):
             if name in self._gateway.registry.members:
                 self._crashed.pop(name, None)
-                self._records.note_alive(name, now, now)
+                self._records.record_alive(name, now, now)
                 log_event("upstream not crashed", upstream=name)
 
-    def _note_return(self, name):
+    def _record_restart(self, name):
         if name not in self._crashed:
             return
         del self._crashed[name]
-        count = self._find_returns(name).count + 1
-        self._returns[name] = Returns(count, read_boottime())
-        keep_latest(self._returns, MOST_CRASHED)
+        count = self._get_restarts(name).count + 1
+        self._restarts[name] = Restarts(count, read_boottime())
+        keep_latest(self._restarts, MAX_CRASHED)
 
-    def _find_returns(self, name):
-        return self._returns.get(name, Returns())
+    def _get_restarts(self, name):
+        return self._restarts.get(name, Restarts())
 
-    def _name_crash(self, name):
-        """Return what tells a crash from the earlier ones under the same name.
+    def _make_crash_id(self, name):
+        """Return an id for an upstream's crash, different after each restart.
 
-        Guard: where upstreams keep their names over restarts, all crashes of one would
-        count as a single one.
+        If the name alone were used, all crashes of an upstream that keeps its name over
+        restarts would count as one.
         """
-        count = self._find_returns(name).count
+        count = self._get_restarts(name).count
         return f"{name}#{count}" if count else name
 
-    def _ask(self, registration, now):
-        """Suspect what an upstream may be running until it answers or refuses."""
+    def _start_probe(self, registration, now):
+        """Probe an upstream, and until then suspect the requests it may be running."""
         name = registration.name
         if name in self._assumed:
             return
         suspicions = self._list_in_flight(name, now)
         if not suspicions:
             return
-        if len(self._probes) >= MOST_PROBES:
+        if len(self._probes) >= MAX_PROBES:
             log_event("upstream not asked", upstream=name, in_flight=len(suspicions))
             return
         for suspicion in suspicions:
@@ -187,8 +189,8 @@
         self._probes[conn] = Probe(name, now)
 
     def _list_in_flight(self, name, now):
-        """Return the suspicions of all that an upstream may be running."""
-        since = self._find_returns(name).at
+        """Return a Suspicion for each request that an upstream may be running."""
+        since = self._get_restarts(name).at
         found = {
             relay.fingerprint
             for relay in self._gateway.relays
@@ -199,14 +201,14 @@
         }
         found |= {
             item.fingerprint
-            for item in self._left_attempts
-            if item.upstream == name and item.at >= max(since, now - LEFT_FOR)
+            for item in self._abandoned
+            if item.upstream == name and item.at >= max(since, now - ABANDONED_FOR)
         }
-        crash = self._name_crash(name)
+        crash = self._make_crash_id(name)
         return [Suspicion(fingerprint, crash) for fingerprint in sorted(found)]
 
     def _opened(self, conn):
-        probe, suspicions = self._take_probe(conn)
+        probe, suspicions = self._pop_probe(conn)
         if probe is not None:
             self._dismiss(suspicions)
         self._streams.drop(conn)
@@ -215,23 +217,23 @@
         self._streams.drop(conn)
 
     def _closed(self, conn, exc):
-        probe, suspicions = self._take_probe(conn)
+        probe, suspicions = self._pop_probe(conn)
         if probe is None:
             return
-        alone = not self._client.is_connected(conn.address)
-        if isinstance(exc, REFUSED) and alone:
+        unconnected = not self._client.is_connected(conn.address)
+        if isinstance(exc, REFUSED) and unconnected:
             self._prove(probe.upstream, suspicions)
             return
-        # No answer proves nothing, nor does a refusal while other connections go on:
-        # the upstream is full. The registration of a crashed one lapses.
+        # A timeout proves nothing. Neither does a refusal while other connections are
+        # open: the upstream is full. If it did crash, its registration lapses.
         self._dismiss(suspicions)
         now = read_boottime()
         for suspicion in suspicions:
-            left = LeftAttempt(probe.upstream, suspicion.fingerprint, now)
-            self._left_attempts.append(left)
+            attempt = AbandonedAttempt(probe.upstream, suspicion.fingerprint, now)
+            self._abandoned.append(attempt)
 
-    def _take_probe(self, conn):
-        """Return a probe and its suspicions, None for one that has been judged."""
+    def _pop_probe(self, conn):
+        """Remove a probe; return it and its suspicions, or None if it is unknown."""
         probe = self._probes.pop(conn, None)
         if probe is None:
             return None, ()
@@ -244,7 +246,7 @@
     def _prove(self, name, suspicions):
         now = read_boottime()
         self._crashed[name] = now
-        keep_latest(self._crashed, MOST_CRASHED)
+        keep_latest(self._crashed, MAX_CRASHED)
         counts = []
         for suspicion in suspicions:
             self._records.prove(suspicion, now)
@@ -264,6 +266,6 @@
         for conn, probe in list(self._probes.items()):
             if now - probe.at >= CONNECT_TIMEOUT:
                 self._streams.drop(conn)
-        if now >= self._look_at:
-            self._look_at = now + LOOK_EVERY
-            self.acquit_registered(now)
+        if now >= self._next_check:
+            self._next_check = now + CHECK_INTERVAL
+            self.clear_registered(now)
--- a/src/chervilwing/crashes.py
+++ b/src/chervilwing/crashes.py
@@ -1,8 +1,9 @@
-"""Which requests crash the upstreams that run them, as far as instances know.
+"""Detection of requests that crash the upstreams that run them.
 
-Whatever was in flight at an upstream that crashed is suspected of it, by its
-fingerprint. Suspected of several crashes it is barred; answered whole it is cleared.
-docs/design/CRASHING-REQUESTS.md has the ways weighed and what they cost.
+Every request that was in flight at an upstream when it crashed is suspected, by its
+fingerprint. A request that is suspected of several crashes is barred; one that receives
+a complete answer is cleared. docs/design/CRASHING-REQUESTS.md compares the alternatives
+and their costs.
 """
 
 from collections import OrderedDict
@@ -14,45 +15,47 @@
 from .exceptions import RequestBarred, Scope
 from .stored_crashes import StoredCrashes
 
-# Crashes of which a request is suspected before it is barred.
-CRASHES_BORNE = 3
-# Seconds after its last crash for which a request is suspected. Load: callers that
-# repeat a crashing request for ever. Harm: a shorter time lets it end three upstreams
-# again and again; a longer one bars for longer what has been mended meanwhile.
-KEPT = 600.0
-# Seconds after its last crash until the word of an answer would have come; sooner, its
-# caller is asked to come back after that time.
-SETTLED_AFTER = 2.0
-# Requests kept, the latest: each takes some hundred bytes.
-MOST_REQUESTS = 4096
-# Seconds for which a suspicion is told to others: several questions to each of them.
-TOLD_FOR = 3.0
-# Suspicions told at once, so that a datagram stays small.
-TOLD_MOST = 64
-# Seconds for which a request that was answered whole is not suspected, and how many of
-# these are kept. Load: one document that hundreds ask for, among them some at each
-# upstream that crashes. Harm: barred for crashes that it only was there for.
-ANSWERED_FOR = 10.0
-MOST_ANSWERED = 1024
-# Upstreams kept that are believed to have crashed, or known to have answered since.
-MOST_UPSTREAMS = 1024
-# Seconds by which the word that an upstream has answered may be late. Load: a burst in
-# which datagrams wait. Harm: it would take back a crash that came after the answer.
+# Number of crashes from which a suspected request is barred.
+CRASH_LIMIT = 3
+# Seconds after its last crash for which a request is suspected. Callers may repeat a
+# crashing request forever: with a shorter time it would crash three upstreams again and
+# again; a longer time bars requests whose fault has been fixed in the meantime.
+SUSPECTED_FOR = 600.0
+# Seconds after a request's last crash within which another instance's report of an
+# answer may still arrive; until then, its caller is asked to retry after this time.
+REPORT_DELAY = 2.0
+# Number of latest requests that are kept; each takes about a hundred bytes.
+MAX_REQUESTS = 4096
+# Seconds for which a suspicion is reported to other instances, which takes several
+# exchanges with each of them.
+REPORT_FOR = 3.0
+# Suspicions reported at once, so that a datagram stays small.
+MAX_REPORTS = 64
+# Seconds for which a request with a complete answer is not suspected, and how many of
+# these are kept. A document that hundreds of callers request is in flight at every
+# upstream that crashes; without this it would be barred for crashes it didn't cause.
+EXEMPT_FOR = 10.0
+MAX_ANSWERED = 1024
+# Number of upstreams that are kept as crashed, and as having answered since.
+MAX_UPSTREAMS = 1024
+# Seconds by which a report that an upstream has answered may be late, as datagrams wait
+# during a burst. Without this margin it could withdraw a crash that followed the
+# answer.
 ALIVE_MARGIN = 0.5
-# Stands for the upstream of a Suspicion that takes back all others of its request, and
-# for the request of one that takes back all others of its upstream.
-CLEARED = ""
+# In place of the upstream, this value makes a report withdraw all suspicions of the
+# request; in place of the fingerprint, all suspicions of the upstream's crash.
+ANY = ""
 
 
 class Suspicion(NamedTuple):
-    """That an upstream crashed while a request was in flight there."""
+    """A request that was in flight at an upstream that crashed."""
 
     fingerprint: str
     upstream: str
 
 
 class CrashNews(NamedTuple):
-    """What one instance tells another: a Suspicion, and its age in seconds."""
+    """Report to another instance: a Suspicion and its age in seconds."""
 
     fingerprint: str
     upstream: str
@@ -60,17 +63,18 @@
 
 
 class Crash(NamedTuple):
-    """When an upstream crashed, and who is suspected of it."""
+    """The time of an upstream's crash, and the requests suspected of it."""
 
     at: float
     fingerprints: set[str]
 
 
 class State(Enum):
-    """What is known of one suspicion.
+    """State of one suspicion.
 
-    ASSUMED: a connection broke off, and whether the upstream crashed isn't known yet.
-    PROVED: it has crashed. WITHDRAWN: another upstream has answered the request since.
+    ASSUMED: a connection broke off, and it is not yet known whether the upstream has
+    crashed. PROVED: the upstream has crashed. WITHDRAWN: another upstream has answered
+    the request since, or the crash was deleted from the store.
     """
 
     ASSUMED = 1
@@ -78,11 +82,15 @@
     WITHDRAWN = 3
 
 
-COUNTED = (State.ASSUMED, State.PROVED)
+COUNTED_STATES = (State.ASSUMED, State.PROVED)
 
 
-class Suspect:
-    """State of one request: its crashes by upstream, and until when they count."""
+class SuspectedRequest:
+    """State of one request.
+
+    ``crashes`` maps each crash's upstream to the State of the suspicion; they count
+    until the time ``until``.
+    """
 
     __slots__ = ("crashes", "until")
 
@@ -91,62 +99,63 @@
         self.until = inf
 
     def count(self):
-        """Return of how many crashes the request is suspected."""
-        return sum(state in COUNTED for state in self.crashes.values())
+        """Return the number of crashes that the request is suspected of."""
+        return sum(state in COUNTED_STATES for state in self.crashes.values())
 
 
 class CrashRecords:
-    """State of one instance's suspicions; times are seconds on one clock.
+    """Suspicions known to one instance; times are seconds on one clock.
 
-    Told twice, late or in any order, suspicions come to the same at each instance.
+    Reports may arrive repeatedly, late and in any order; all instances reach the same
+    result.
     """
 
     def __init__(self, name):
         self._suspects = OrderedDict()
-        # Crashes by upstream, and until when upstreams answered that were suspected.
+        # Crashes by upstream, and the time of each upstream's last known answer.
         self._crashes = OrderedDict()
         self._alive = OrderedDict()
-        # When requests were answered whole, the latest of them.
+        # The times at which the latest requests were answered completely.
         self._answered = OrderedDict()
-        # When each Suspicion arose that is told to others, and until when it is told.
-        self._told = {}
-        self.stored = StoredCrashes(name, self._measure)
+        # Suspicions to report: the time of the crash, and until when to report it.
+        self._reports = {}
+        self.stored = StoredCrashes(name, self._count_if_proved)
 
     def count(self, fingerprint, now):
-        """Return of how many crashes a request is suspected."""
+        """Return the number of crashes that a request is suspected of."""
         suspect = self._suspects.get(fingerprint)
         return suspect.count() if suspect and now < suspect.until else 0
 
     def is_barred(self, fingerprint, now):
-        """Tell whether a request must not be sent to an upstream."""
-        return self.count(fingerprint, now) >= CRASHES_BORNE
+        """Return whether a request must not be sent to any upstream."""
+        return self.count(fingerprint, now) >= CRASH_LIMIT
 
     def check(self, fingerprint, now):
-        """Raise RequestBarred for a request that must not be sent."""
+        """Raise RequestBarred if a request must not be sent to any upstream."""
         if self.is_barred(fingerprint, now):
-            # Asked for again, it is not the one to be forgotten first.
+            # A request that is still being repeated must not be evicted first.
             self._suspects.move_to_end(fingerprint)
             wait = self._suspects[fingerprint].until - now
-            if wait > KEPT - SETTLED_AFTER:
-                wait = SETTLED_AFTER
+            if wait > SUSPECTED_FOR - REPORT_DELAY:
+                wait = REPORT_DELAY
             scope = Scope("request", fingerprint)
             raise RequestBarred(scope=scope, retry_after=wait)
 
     def measure(self, now):
-        """Return how many requests are suspected, and how many of them are barred."""
+        """Return the number of suspected requests, and how many of them are barred."""
         counts = [self.count(fingerprint, now) for fingerprint in self._suspects]
         suspected = sum(count > 0 for count in counts)
-        return suspected, sum(count >= CRASHES_BORNE for count in counts)
+        return suspected, sum(count >= CRASH_LIMIT for count in counts)
 
     def assume(self, suspicion, now):
-        """Suspect a request until it is known whether the upstream crashed."""
+        """Suspect a request until it is known whether the upstream has crashed."""
         if self._was_answered(suspicion.fingerprint, now):
             return
-        suspect = self._find(suspicion.fingerprint, now)
+        suspect = self._find_or_add(suspicion.fingerprint, now)
         suspect.crashes.setdefault(suspicion.upstream, State.ASSUMED)
 
     def dismiss(self, suspicion):
-        """Take an assumed suspicion back: the upstream goes on."""
+        """Remove an assumed suspicion, because the upstream is still running."""
         suspect = self._suspects.get(suspicion.fingerprint)
         if suspect and suspect.crashes.get(suspicion.upstream) is State.ASSUMED:
             del suspect.crashes[suspicion.upstream]
@@ -154,145 +163,149 @@
                 del self._suspects[suspicion.fingerprint]
 
     def prove(self, suspicion, now):
-        """Suspect a request of a crash that this instance saw."""
+        """Suspect a request of a crash that this instance detected."""
         self.hear(CrashNews(*suspicion, 0.0), now, near=True)
 
     def hear(self, news, now, near=False):
-        """Take what another instance told; ``near`` is one of this instance's group."""
+        """Apply a report; ``near`` if it comes from this instance or its group."""
         suspicion, at = Suspicion(news.fingerprint, news.upstream), now - news.age
-        if suspicion.upstream == CLEARED:
-            self._withdraw(suspicion.fingerprint, now)
+        if suspicion.upstream == ANY:
+            self._withdraw_request(suspicion.fingerprint, now)
             return
-        if suspicion.fingerprint == CLEARED:
-            self._absolve(suspicion.upstream, at - ALIVE_MARGIN, now)
+        if suspicion.fingerprint == ANY:
+            self._withdraw_crash(suspicion.upstream, at - ALIVE_MARGIN, now)
             return
-        if not self._add(suspicion, at, now):
+        if not self._add_proved(suspicion, at, now):
             return
-        self._tell(suspicion, at, now)
+        self._queue_report(suspicion, at, now)
         if near:
             self.stored.collect(*suspicion, now)
         suspect = self._suspects[suspicion.fingerprint]
         if suspect.count() > 1:
-            self.stored.hasten(suspect.crashes.keys(), now)
+            self.stored.expedite(suspect.crashes.keys(), now)
 
     def hear_stored(self, key, crash, revision, now):
-        """Take what the store has under a key, None where it has it no more.
+        """Apply the crash stored under a key, or None if the key was deleted.
 
-        It goes when its lease ends, or when an operator deletes it to let through what
-        is suspected of this crash.
+        A key is deleted when its lease expires, or by an operator, to let the requests
+        pass that are suspected of the crash.
         """
-        before = self.stored.hear(key, crash, revision)
+        before = self.stored.update(key, crash, revision)
         found = crash.fingerprints if crash else ()
         for fingerprint in found:
-            self._add(Suspicion(fingerprint, crash.upstream), now, now)
+            self._add_proved(Suspicion(fingerprint, crash.upstream), now, now)
         if before is not None:
-            self._release(before.upstream, set(before.fingerprints) - set(found))
+            self._withdraw_deleted(
+                before.upstream, set(before.fingerprints) - set(found)
+            )
 
     def clear(self, fingerprint, now):
-        """Take all suspicions of a request back, as it was answered whole."""
+        """Withdraw all suspicions of a request that was answered completely."""
         self._answered[fingerprint] = now
         self._answered.move_to_end(fingerprint)
-        keep_latest(self._answered, MOST_ANSWERED)
-        self._withdraw(fingerprint, now)
+        keep_latest(self._answered, MAX_ANSWERED)
+        self._withdraw_request(fingerprint, now)
 
     def list_crashed(self, before):
-        """Return the upstreams that are believed to have crashed before a time."""
+        """Return the upstreams that are recorded as crashed at or before a time."""
         return [name for name, crash in self._crashes.items() if crash.at <= before]
 
-    def note_alive(self, upstream, sent_at, now):
-        """Take note that an upstream answered a call that was sent at this time.
+    def record_alive(self, upstream, sent_at, now):
+        """Record that an upstream answered a call that was sent at a time.
 
-        Guard: between two data centres that are cut off from each other all connections
-        are reset and refused, and upstreams look as if they had crashed. Where they are
-        reached they answer, and nobody is suspected of their crashes any more.
+        When two data centres are cut off from each other, connections are reset and
+        refused as if the upstreams had crashed. An answer to a reachable instance shows
+        that they are running, so the suspicions of their crashes are withdrawn.
         """
         crash = self._crashes.get(upstream)
         if crash is not None:
-            self._absolve(upstream, sent_at, now)
+            self._withdraw_crash(upstream, sent_at, now)
 
     def list_told(self, now):
-        """Return what is to be told to others of late.
+        """Return the recent CrashNews to report to other instances.
 
-        First come those of requests that are suspected most. Load: a rack of upstreams
-        crashes at once. Harm: what others need to know would be left out.
+        Suspicions of the most suspected requests come first and withdrawals last: when
+        a rack of upstreams crashes at once, not all of them fit.
         """
-        self._told = {item: word for item, word in self._told.items() if now < word[1]}
-        weigh = lambda item: (
-            CLEARED not in item,
+        self._reports = {
+            k: report for k, report in self._reports.items() if now < report[1]
+        }
+        rank = lambda item: (
+            ANY not in item,
             self.count(item.fingerprint, now),
-            self._told[item],
+            self._reports[item],
         )
-        first = sorted(self._told, key=weigh, reverse=True)[:TOLD_MOST]
-        return [CrashNews(*item, now - self._told[item][0]) for item in first]
+        first = sorted(self._reports, key=rank, reverse=True)[:MAX_REPORTS]
+        return [CrashNews(*item, now - self._reports[item][0]) for item in first]
 
-    def _tell(self, suspicion, at, now):
-        self._told[suspicion] = (at, now + TOLD_FOR)
+    def _queue_report(self, suspicion, at, now):
+        self._reports[suspicion] = (at, now + REPORT_FOR)
 
-    def _release(self, upstream, fingerprints):
-        """Take back what the store has no more."""
+    def _withdraw_deleted(self, upstream, fingerprints):
+        """Withdraw the suspicions of a crash that were deleted from the store."""
         for fingerprint in fingerprints:
             suspect = self._suspects.get(fingerprint)
             if suspect and upstream in suspect.crashes:
                 suspect.crashes[upstream] = State.WITHDRAWN
 
-    def _absolve(self, upstream, at, now):
-        """Take back all suspicions of a crash before a time at which it went on."""
+    def _withdraw_crash(self, upstream, at, now):
+        """Withdraw a crash of an upstream that was running at a later time ``at``."""
         if at > self._alive.get(upstream, -inf):
             self._alive[upstream] = at
             self._alive.move_to_end(upstream)
-            keep_latest(self._alive, MOST_UPSTREAMS)
+            keep_latest(self._alive, MAX_UPSTREAMS)
         crash = self._crashes.get(upstream)
         if crash is None or crash.at >= at:
             return
         del self._crashes[upstream]
         for fingerprint in crash.fingerprints:
-            self._told.pop(Suspicion(fingerprint, upstream), None)
-            self.stored.correct(fingerprint, now)
+            self._reports.pop(Suspicion(fingerprint, upstream), None)
+            self.stored.schedule_rewrite(fingerprint, now)
             suspect = self._suspects.get(fingerprint)
             if suspect is not None:
                 suspect.crashes.pop(upstream, None)
-        self._tell(Suspicion(CLEARED, upstream), at, now)
+        self._queue_report(Suspicion(ANY, upstream), at, now)
 
-    def _measure(self, fingerprint, upstream):
+    def _count_if_proved(self, fingerprint, upstream):
         suspect = self._suspects.get(fingerprint)
         proved = suspect and suspect.crashes.get(upstream) is State.PROVED
         return suspect.count() if proved else 0
 
     def _was_answered(self, fingerprint, now):
-        return now - self._answered.get(fingerprint, -inf) < ANSWERED_FOR
+        return now - self._answered.get(fingerprint, -inf) < EXEMPT_FOR
 
-    def _find(self, fingerprint, now):
+    def _find_or_add(self, fingerprint, now):
         suspect = self._suspects.get(fingerprint)
         if suspect is None or now >= suspect.until:
-            suspect = self._suspects[fingerprint] = Suspect()
-        suspect.until = now + KEPT
+            suspect = self._suspects[fingerprint] = SuspectedRequest()
+        suspect.until = now + SUSPECTED_FOR
         self._suspects.move_to_end(fingerprint)
-        keep_latest(self._suspects, MOST_REQUESTS)
+        keep_latest(self._suspects, MAX_REQUESTS)
         return suspect
 
-    def _add(self, suspicion, at, now):
-        """Take a proved suspicion of a crash at this time; tell whether it is new."""
+    def _add_proved(self, suspicion, at, now):
+        """Record a proved suspicion; return whether it is new and counts."""
         if at < self._alive.get(suspicion.upstream, -inf):
             return False
         known = self._suspects.get(suspicion.fingerprint)
         state = known and now < known.until and known.crashes.get(suspicion.upstream)
         if state in (State.PROVED, State.WITHDRAWN):
             return False
-        suspect = self._find(suspicion.fingerprint, now)
+        suspect = self._find_or_add(suspicion.fingerprint, now)
         suspect.crashes[suspicion.upstream] = State.PROVED
         crash = self._crashes.setdefault(suspicion.upstream, Crash(at, set()))
         crash.fingerprints.add(suspicion.fingerprint)
-        keep_latest(self._crashes, MOST_UPSTREAMS)
+        keep_latest(self._crashes, MAX_UPSTREAMS)
         if self._was_answered(suspicion.fingerprint, now):
-            self._withdraw(suspicion.fingerprint, now)
+            self._withdraw_request(suspicion.fingerprint, now)
             return False
         return True
 
-    def _withdraw(self, fingerprint, now):
+    def _withdraw_request(self, fingerprint, now):
         suspect = self._suspects.get(fingerprint)
         if suspect is None or suspect.count() == 0:
             return
-        self.stored.correct(fingerprint, now)
-        # Kept, so that what others still tell of them changes nothing.
+        self.stored.schedule_rewrite(fingerprint, now)
+        # Kept, so that further reports of these crashes have no effect.
         suspect.crashes = dict.fromkeys(suspect.crashes, State.WITHDRAWN)
-        self._tell(Suspicion(fingerprint, CLEARED), now, now)
+        self._queue_report(Suspicion(fingerprint, ANY), now, now)
--- a/src/chervilwing/placers.py
+++ b/src/chervilwing/placers.py
@@ -10,9 +10,8 @@
 
 from .demands import Demand, PromptPart
 
-# Seconds to wait for a placer's answer, so that a placer that is cut off or slow delays
-# a request only a little: a round trip takes 3 ms, the shortest latency target is 150
-# ms.
+# Seconds to wait for an answer. A placer that is cut off or slow delays a request
+# only a little: a round trip takes 3 ms, and the shortest latency target is 150 ms.
 ANSWER_TIMEOUT = 0.03
 # Consecutive asks without an answer after which another instance is asked: a bad link
 # loses one datagram in thirty.
--- a/src/chervilwing/rollouts.py
+++ b/src/chervilwing/rollouts.py
@@ -149,11 +149,13 @@
     for route, answers in tried.items():
         if answers.bad < MIN_FAILURES:
             continue
-        known = current.get(route, Answers())
-        seen = (known.bad + BASE_FAILURE_RATE * PRIOR_ANSWERS) / (
-            known.count + PRIOR_ANSWERS
+        baseline = current.get(route, Answers())
+        usual_rate = (baseline.bad + BASE_FAILURE_RATE * PRIOR_ANSWERS) / (
+            baseline.count + PRIOR_ANSWERS
+        )
+        p_values.append(
+            compute_tail_probability(answers, max(BASE_FAILURE_RATE, usual_rate))
         )
-        p_values.append(compute_tail_probability(answers, max(BASE_FAILURE_RATE, seen)))
     return min(p_values)
 
 
@@ -204,10 +206,10 @@
     count = sum_answers(tried).count
     if count < MIN_ANSWERS or compute_p_value(tried, current) <= DOUBTFUL_P_VALUE:
         return False
-    asked = count + sum_answers(current).count
-    rate = asked / max(1.0, now - rollout.decision.began_at)
+    total = count + sum_answers(current).count
+    rate = total / max(1.0, now - rollout.decision.began_at)
     more = rate * (left + DEADLINE_MARGIN)
-    return count + more <= EXPOSED_FRACTION * (asked + more) + EXPOSED_MORE
+    return count + more <= EXPOSED_FRACTION * (total + more) + EXPOSED_MORE
 
 
 class Rollouts:
--- a/src/chervilwing/stations.py
+++ b/src/chervilwing/stations.py
@@ -8,6 +8,7 @@
 # but fails part of its calls. Without decay it would never be tried again; if it were
 # tried every second, every tenth caller would fail.
 FAILURE_HALF_LIFE = 4.0
+# Weight of one attempt's outcome in the failure rate.
 FAILURE_WEIGHT = 0.25
 # Seconds beyond twice the estimate after which a prompt that another instance sent
 # counts as read without a report, since the datagram that reported it may be lost.
--- a/src/chervilwing/upstream_limits.py
+++ b/src/chervilwing/upstream_limits.py
@@ -20,8 +20,7 @@
 MIN_RATE = 0.2
 # Seconds for which an instance keeps asking for credit after it was short of some.
 SEEK_TIME = 1.0
-# Seconds for which the end of a limit is reported; all instances receive it in that
-# time.
+# Seconds for which the end of a limit is reported, so that all instances receive it.
 KEEP_ENDED_FOR = 10.0
 # Seconds for which a limit is kept after its upstream's registration, which may lapse
 # while the store is unavailable.
--- a/tests/crash_fleet.py
+++ b/tests/crash_fleet.py
@@ -1,7 +1,7 @@
-"""Instances before engines that some requests crash, with one clock and no sockets.
+"""Simulation of instances and engines that some requests crash, without sockets.
 
-Instances tell each other suspicions as they do in a deployment: by questions to the
-first of their group, and among the first ones of all groups; datagrams may be lost.
+Instances exchange suspicions as in a deployment: members ask the leader of their group,
+and the leaders of all groups ask each other. Datagrams may be lost.
 """
 
 import random
@@ -15,57 +15,61 @@
 
 STEP = 0.05
 CENTRES = 3
-# Seconds until a change in the store is known to an instance that reaches it.
+# Seconds until an instance that reaches the store receives a change in it.
 STORE_LAG = (0.05, 1.5)
-# Seconds until a crashed engine is back, as another incarnation.
-BACK_AFTER = 8.0
-# Seconds from a request's arrival at an engine until it begins to run there.
-BEGINS_AFTER = (0.05, 0.6)
-# Seconds for which other requests run.
-RUNS_FOR = (0.3, 4.0)
-# Seconds after which an instance that was disturbed counts as in touch again.
-IN_TOUCH_AFTER = 3.0
-# Part of the requests of others that instances retry.
-RETRIED = 0.5
-# Tries of callers who try again more often than they should.
+# Seconds until a crashed engine has restarted, under a new name.
+RESTART_TIME = 8.0
+# Seconds from a crashing request's arrival at an engine until it crashes the engine.
+CRASH_DELAY = (0.05, 0.6)
+# Seconds for which harmless requests run.
+RUN_TIME = (0.3, 4.0)
+# Seconds after a fault until an instance counts as in contact with the others again.
+IN_CONTACT_AFTER = 3.0
+# Fraction of the harmless requests that instances retry.
+RETRIED_FRACTION = 0.5
+# Number of tries of callers that retry more often than they should.
 STUBBORN_TRIES = 6
-# Upstreams that one try of a request may be sent to.
+# Number of engines that one try of a retried request may be sent to.
 ATTEMPTS = 2
 
 
 class Kind(NamedTuple):
-    """How a request may be tried again: by its instance, and by its caller.
+    """Behaviour of a request: whether it crashes engines, and how it is retried.
 
-    A ``crashing`` one comes again for ever, every ``pause`` seconds.
+    ``retried`` is true if its instance retries it, ``caller_tries`` the number of tries
+    of its caller. A ``crashing`` request is sent again forever, every ``pause``
+    seconds.
     """
 
     crashing: bool
     retried: bool = False
-    callers_tries: int = 2
+    caller_tries: int = 2
     pause: float = 1.0
 
 
 class Attempt:
     """State of one request in flight at an engine."""
 
-    def __init__(self, fingerprint, kind, node, engine, now, tries, left, runs_for):
+    def __init__(
+        self, fingerprint, kind, node, engine, now, tries, attempts_left, runs_for
+    ):
         self.fingerprint = fingerprint
         self.kind = kind
         self.node = node
         self.engine = engine
         self.sent_at = now
         self.tries = tries
-        self.left = left
+        self.attempts_left = attempts_left
         self.ends_at = now + runs_for
 
 
 class Node:
-    """One instance: what it knows, and whom it asks."""
+    """One instance: its records, and the instances that it asks for news."""
 
     def __init__(self, name, centre, now):
         self.name = name
         self.centre = centre
-        self.disturbed_at = now
+        self.fault_at = now
         self.records = CrashRecords(name)
         self.leader = Fanout()
         self.others = {}
@@ -73,37 +77,40 @@
 
 
 class Sent(NamedTuple):
-    """A crashing request that was sent to an engine, and whether in touch."""
+    """A crashing request sent to an engine.
+
+    ``in_contact`` is true if its instance was in contact with the other instances.
+    """
 
     fingerprint: str
     at: float
-    in_touch: bool
+    in_contact: bool
 
 
 class Fleet:
-    """Instances and engines by name, callers, a network and a store."""
+    """Simulated instances, engines, callers, network and store."""
 
     def __init__(self, size, engines, seed, loss=0.03, share=1, stubborn=0.0):
         self.rng = random.Random(seed)
         self.now = 0.0
         self.loss = loss
-        # Copies of each request of others that are asked for at the same time.
+        # Number of copies of each harmless request.
         self.share = share
-        # Part of the callers that try STUBBORN_TRIES times.
+        # Fraction of the callers that try STUBBORN_TRIES times.
         self.stubborn = stubborn
         self.nodes = {}
         self.cut_off = set()
         self.no_store = set()
         self.engines = {}
-        self.back_at = []
+        self.restart_at = []
         self.running = []
         self.due = []
         self.sent = []
         self.crashes = {}
-        # Requests of others, however often they were tried: all, and those barred.
-        self.asked, self.refused = set(), set()
+        # Fingerprints of all harmless requests, and of those that were refused.
+        self.requests, self.refused = set(), set()
         self.tries = self.refused_tries = 0
-        # What was written to the store, in order, with when each node may see it.
+        # Writes to the store in order: time of delivery to the instances, key, crash.
         self.log = []
         self._serial = count()
         self._engine_serial = count()
@@ -113,7 +120,7 @@
             self._start_engine()
 
     def start(self, name):
-        """Start an instance, or start it again with nothing kept."""
+        """Start an instance, or restart it without its state."""
         centre = f"c{int(name[1:]) % CENTRES}"
         self.nodes[name] = Node(name, centre, self.now)
         centres = {}
@@ -123,11 +130,11 @@
         self.group_of = {n: g for g, names in self.groups.items() for n in names}
 
     def cut(self, names, store=True, others=True):
-        """Cut instances off from the store, from all others, or from both.
+        """Cut instances off from the store, from all other instances, or from both.
 
-        Whatever they have in flight at engines is reset, and so are new connections.
+        Their connections to engines are reset, and new ones are refused.
         """
-        self._disturb(names)
+        self._record_fault(names)
         for item in [item for item in self.running if item.node.name in names]:
             self.running.remove(item)
             suspicion = Suspicion(item.fingerprint, item.engine)
@@ -137,13 +144,13 @@
         self.cut_off = set(names) if others else set()
 
     def heal(self):
-        """Let all reach each other and the store."""
-        self._disturb(self.no_store | self.cut_off)
+        """End all cuts."""
+        self._record_fault(self.no_store | self.cut_off)
         self.no_store, self.cut_off = set(), set()
 
-    def _disturb(self, names):
+    def _record_fault(self, names):
         for name in names:
-            self.nodes[name].disturbed_at = self.now
+            self.nodes[name].fault_at = self.now
 
     def repeat(self, fingerprint, pause=1.0, retried=False):
         """Let a caller send a crashing request again and again."""
@@ -151,22 +158,24 @@
         self.due.append((self.now, fingerprint, kind, 0))
 
     def run(self, seconds, rate):
-        """Let time pass, with so many requests of others a second."""
+        """Advance by some seconds, with ``rate`` harmless requests per second."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP
-            for at in [at for at in self.back_at if at <= self.now]:
-                self.back_at.remove(at)
+            for at in [at for at in self.restart_at if at <= self.now]:
+                self.restart_at.remove(at)
                 self._start_engine()
             for _ in range(int(rate * STEP + self.rng.random())):
                 fingerprint = f"{next(self._serial) // self.share:016x}"
                 tries = STUBBORN_TRIES if self.rng.random() < self.stubborn else 2
-                kind = Kind(False, self.rng.random() < RETRIED, callers_tries=tries)
+                kind = Kind(
+                    False, self.rng.random() < RETRIED_FRACTION, caller_tries=tries
+                )
                 self.due.append((self.now, fingerprint, kind, 1))
             self._send_due()
             self._end_runs()
             for node in list(self.nodes.values()):
-                self._tell(node)
+                self._exchange_news(node)
                 self._follow_store(node)
 
     def _start_engine(self):
@@ -181,11 +190,11 @@
                 pause = kind.pause * self.rng.uniform(0.7, 1.3)
                 self.due.append((self.now + pause, fingerprint, kind, 0))
             else:
-                self.asked.add(fingerprint)
+                self.requests.add(fingerprint)
                 self.tries += 1
             self._try(node, fingerprint, kind, tries, ATTEMPTS if kind.retried else 1)
 
-    def _try(self, node, fingerprint, kind, tries, left):
+    def _try(self, node, fingerprint, kind, tries, attempts_left):
         try:
             node.records.check(fingerprint, self.now)
         except RequestBarred:
@@ -196,16 +205,23 @@
         if not self.engines:
             return
         engine = self.rng.choice(list(self.engines))
-        spread = BEGINS_AFTER if kind.crashing else RUNS_FOR
+        spread = CRASH_DELAY if kind.crashing else RUN_TIME
         runs_for = self.rng.uniform(*spread)
         attempt = Attempt(
-            fingerprint, kind, node, engine, self.now, tries, left - 1, runs_for
+            fingerprint,
+            kind,
+            node,
+            engine,
+            self.now,
+            tries,
+            attempts_left - 1,
+            runs_for,
         )
         self.running.append(attempt)
         if kind.crashing:
-            calm = self.now - node.disturbed_at > IN_TOUCH_AFTER
-            in_touch = calm and node.name not in self.no_store
-            self.sent.append(Sent(fingerprint, self.now, in_touch))
+            calm = self.now - node.fault_at > IN_CONTACT_AFTER
+            in_contact = calm and node.name not in self.no_store
+            self.sent.append(Sent(fingerprint, self.now, in_contact))
 
     def _end_runs(self):
         for attempt in sorted(self.running, key=lambda item: item.ends_at):
@@ -216,7 +232,7 @@
             elif self.nodes.get(attempt.node.name) is attempt.node:
                 records = attempt.node.records
                 records.clear(attempt.fingerprint, self.now)
-                records.note_alive(attempt.engine, attempt.sent_at, self.now)
+                records.record_alive(attempt.engine, attempt.sent_at, self.now)
         self.running = [
             item
             for item in self.running
@@ -225,11 +241,11 @@
 
     def _crash(self, cause):
         del self.engines[cause.engine]
-        self.back_at.append(self.now + BACK_AFTER)
+        self.restart_at.append(self.now + RESTART_TIME)
         self.crashes.setdefault(cause.fingerprint, []).append(self.now)
         hit = [item for item in self.running if item.engine == cause.engine]
         for item in hit:
-            # One that ended or started again tells nobody.
+            # An instance that has restarted has no state left.
             if self.nodes.get(item.node.name) is item.node:
                 suspicion = Suspicion(item.fingerprint, item.engine)
                 item.node.records.prove(suspicion, self.now)
@@ -238,9 +254,11 @@
 
     def _retry(self, item):
         alive = self.nodes.get(item.node.name) is item.node
-        if item.left and alive:
-            self._try(item.node, item.fingerprint, item.kind, item.tries, item.left)
-        elif not item.kind.crashing and item.tries < item.kind.callers_tries:
+        if item.attempts_left and alive:
+            self._try(
+                item.node, item.fingerprint, item.kind, item.tries, item.attempts_left
+            )
+        elif not item.kind.crashing and item.tries < item.kind.caller_tries:
             again = (self.now + 0.1, item.fingerprint, item.kind, item.tries + 1)
             self.due.append(again)
 
@@ -248,7 +266,7 @@
         lost = self.rng.random() < self.loss
         return not lost and (one == other or not {one, other} & self.cut_off)
 
-    def _tell(self, node):
+    def _exchange_news(self, node):
         names = self.groups[self.group_of[node.name]]
         before = names[: names.index(node.name)]
         if node.leader.choose(before, self.now) is not None:
@@ -265,9 +283,9 @@
         if number is None or not self._reaches(node.name, fanout.target):
             return
         other = self.nodes.get(fanout.target)
-        near = self.group_of[node.name] == self.group_of[other.name]
+        same_group = self.group_of[node.name] == self.group_of[other.name]
         for news in node.records.list_told(self.now):
-            other.records.hear(news, self.now, near)
+            other.records.hear(news, self.now, same_group)
         if not self._reaches(node.name, other.name):
             return
         for news in other.records.list_told(self.now):
@@ -278,11 +296,11 @@
         if node.name in self.no_store:
             return
         if node.leader.target is None:
-            while (write := node.records.stored.take_write(self.now)) is not None:
+            while (write := node.records.stored.pop_write(self.now)) is not None:
                 self._write(write)
         else:
             node.records.stored.drop_writes(self.now)
-        # One that has just started lists all that the store has.
+        # An instance that has just started reads the whole store at once.
         fresh = node.seen == 0
         while node.seen < len(self.log):
             at, key, crash = self.log[node.seen]
@@ -299,17 +317,17 @@
         value = encode_crash(crash)
         crash = decode_crash(key, value) if value else None
         at = self.now + self.rng.uniform(*STORE_LAG)
-        # Known in the order in which it was written.
+        # Writes are delivered in their order.
         last = self.log[-1][0] if self.log else 0.0
         self.log.append((max(at, last), key, crash))
 
     def count_late(self, fingerprint):
-        """Return how often it was sent later than in touch after its third crash."""
+        """Return how often instances in contact sent a request long after 3 crashes."""
         crashes = self.crashes.get(fingerprint, [])
         if len(crashes) < 3:
             return 0
-        since = sorted(crashes)[2] + IN_TOUCH_AFTER
+        since = sorted(crashes)[2] + IN_CONTACT_AFTER
         return sum(
-            item.fingerprint == fingerprint and item.at > since and item.in_touch
+            item.fingerprint == fingerprint and item.at > since and item.in_contact
             for item in self.sent
         )
--- a/tests/test_crashes_model.py
+++ b/tests/test_crashes_model.py
@@ -1,23 +1,23 @@
-"""Crashing requests before many instances that start, end and are cut off."""
+"""Crashing requests in a simulation of instances that restart or are cut off."""
 
 import unittest
 
-from chervilwing.crashes import CRASHES_BORNE
+from chervilwing.crashes import CRASH_LIMIT
 from tests.crash_fleet import Fleet
 
-# Instances, engines and requests of others a second.
+# Instances, engines and harmless requests per second.
 SIZES = ((1, 5, 10), (8, 5, 40), (67, 30, 150), (320, 60, 200))
-# What the operators bear: sends to upstreams by instances in touch, counted from some
-# seconds after the third crash.
-LATE_BORNE = 3
-# Crashes beyond those borne: by copies that were sent before the third was known.
-UNDERWAY = 3
-# Part of the requests of others that may be refused beside a crashing request, also
-# where a quarter of their callers try six times within a second.
-REFUSED_PART = 0.01
-STUBBORN = 0.25
+# Number of times that a crashing request may be sent by instances in contact with the
+# others, counted from some seconds after its third crash.
+MAX_LATE = 3
+# Further crashes that are allowed, by copies sent before the third crash was known.
+MAX_IN_TRANSIT = 3
+# Fraction of the harmless requests that may be refused because of a crashing one, even
+# if a quarter of their callers try six times within a second.
+REFUSED_FRACTION = 0.01
+STUBBORN_FRACTION = 0.25
 CRASHING = {
-    # Fingerprint to the caller's pause, and whether instances retry it.
+    # By fingerprint: the caller's pause in seconds, and whether instances retry it.
     "f" * 16: (1.0, False),
     "e" * 16: (0.7, True),
     "d" * 16: (2.0, False),
@@ -45,7 +45,7 @@
     fleet.run(5, rate)
 
 
-def add(fleet, rate):
+def add_instances(fleet, rate):
     for number in range(4):
         fleet.run(5, rate)
         fleet.start(f"n{1000 + number}")
@@ -67,54 +67,55 @@
     fleet.run(25, rate)
 
 
-TROUBLES = (stay, restart_all, restart_some, add, cut_off, lose_datagrams)
-# Crashes more than that: one for each restart of all at once, which forgets what isn't
-# in the store yet, and one for each cut, behind which some hear of nothing.
+FAULTS = (stay, restart_all, restart_some, add_instances, cut_off, lose_datagrams)
+# Further allowed crashes by fault: one for each restart of all instances, as crashes
+# not yet in the store are forgotten, and one for each cut, as some instances get no
+# reports.
 FORGOTTEN = {restart_all: 2, restart_some: 1, cut_off: 3}
 
 
 class TestCrashingRequests(unittest.TestCase):
-    def play_all(self, check, crashing, **options):
+    def check_all(self, check, crashing, **options):
         for seed, (size, engines, rate) in enumerate(SIZES):
-            for trouble in TROUBLES:
-                if size < 2 and trouble is restart_some:
-                    # There are no others that go on meanwhile.
+            for fault in FAULTS:
+                if size < 2 and fault is restart_some:
+                    # There are no other instances that keep running.
                     continue
                 fleet = Fleet(size, engines, seed, **options)
                 fleet.run(3, rate)
                 for fingerprint, (pause, retried) in crashing.items():
                     fleet.repeat(fingerprint, pause, retried)
-                trouble(fleet, rate)
-                with self.subTest(size=size, trouble=trouble.__name__):
-                    check(fleet, trouble)
+                fault(fleet, rate)
+                with self.subTest(size=size, fault=fault.__name__):
+                    check(fleet, fault)
 
-    def test_a_crashing_request_is_left_everywhere(self):
-        def check(fleet, trouble):
+    def test_a_crashing_request_is_barred_by_all_instances(self):
+        def check(fleet, fault):
             for fingerprint in CRASHING:
                 crashes = len(fleet.crashes.get(fingerprint, ()))
-                most = CRASHES_BORNE + UNDERWAY + FORGOTTEN.get(trouble, 0)
-                self.assertLessEqual(crashes, most)
-                self.assertLessEqual(fleet.count_late(fingerprint), LATE_BORNE)
+                limit = CRASH_LIMIT + MAX_IN_TRANSIT + FORGOTTEN.get(fault, 0)
+                self.assertLessEqual(crashes, limit)
+                self.assertLessEqual(fleet.count_late(fingerprint), MAX_LATE)
 
-        self.play_all(check, CRASHING)
+        self.check_all(check, CRASHING)
 
-    def test_what_many_ask_for_is_not_refused_beside_a_crashing_request(self):
+    def test_a_popular_request_is_not_refused_because_of_a_crashing_one(self):
         # One document is in flight at every engine at any time, and so at each crash.
-        # Where hundreds share few requests and many are cut off or restart, most know
-        # no answer of their own: that target is on the capacity page.
-        def check(fleet, trouble):
-            if len(fleet.nodes) > 100 and trouble in (restart_some, cut_off):
+        # The check is skipped where hundreds of instances share few requests and many
+        # of them are cut off or restart: most of them then have seen no answer.
+        def check(fleet, fault):
+            if len(fleet.nodes) > 100 and fault in (restart_some, cut_off):
                 return
-            borne = fleet.tries * REFUSED_PART
-            self.assertLessEqual(fleet.refused_tries, borne)
+            limit = fleet.tries * REFUSED_FRACTION
+            self.assertLessEqual(fleet.refused_tries, limit)
 
-        self.play_all(check, CRASHING, share=10**9)
+        self.check_all(check, CRASHING, share=10**9)
 
-    def test_hardly_any_others_are_refused_beside_a_crashing_request(self):
-        # They are in flight at the same engines and are lost with them, some twice.
-        def check(fleet, trouble):
-            borne = len(fleet.asked) * REFUSED_PART
-            self.assertLessEqual(len(fleet.refused), borne)
+    def test_few_harmless_requests_are_refused_because_of_a_crashing_one(self):
+        # They are in flight at the engines that crash, some of them twice.
+        def check(fleet, fault):
+            limit = len(fleet.requests) * REFUSED_FRACTION
+            self.assertLessEqual(len(fleet.refused), limit)
 
         one = dict(list(CRASHING.items())[:1])
-        self.play_all(check, one, stubborn=STUBBORN)
+        self.check_all(check, one, stubborn=STUBBORN_FRACTION)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests that crash the upstreams that run them, sent again and again."""
+"""Requests that crash the upstreams that run them and are sent again and again."""
 
 import socket
 import threading
@@ -6,26 +6,26 @@
 import unittest
 
 from chervilwing.clocks import read_boottime
-from chervilwing.crashes import CRASHES_BORNE
+from chervilwing.crashes import CRASH_LIMIT
 from chervilwing.fingerprints import fingerprint_repeats
 from chervilwing.parsers import HttpRequest
 from chervilwing.platform.headers import DIALECT
-from tests.crashing import CRASHING, HEAD, WHOLE, CrashingUpstream, count_ended
+from tests.crashing import COMPLETE, CRASHING, HEAD, CrashingUpstream, count_crashed
 from tests.gateways import GatewayRun, make_document
 from tests.procs import CHUNK, HOST, Caller, poll
 from tests.test_gateway import break_off
 from tests.test_platform import PlatformCase
 
 TRIES = 8
-# Seconds within which a crashed upstream's registration lapses, at two a heartbeat.
+# Seconds within which a crashed upstream's registration lapses, with 2 s heartbeats.
 LAPSED_AFTER = 10.0
-# Seconds between two tries of a caller; instances tell each other within half of it.
+# Seconds between two tries of a caller; instances exchange reports in half that time.
 PAUSE = 1.5
 
 
 class TestOneInstance(unittest.TestCase):
     def start(self, begins=False):
-        """Start a gateway before upstreams that a request may crash."""
+        """Start a gateway in front of upstreams that a request may crash."""
         self.run_ = GatewayRun(DIALECT, document=make_document())
         self.addCleanup(self.run_.close)
         self.upstreams = [CrashingUpstream(begins) for _ in range(TRIES * 3)]
@@ -35,39 +35,39 @@
             self.run_.gateway.put_upstream(found)
 
     def repeat(self, path, **headers):
-        """Send the request time after time, each under a new id; return the answers."""
+        """Send the request repeatedly under new ids; return the answers."""
         return [
             self.run_.call("POST", path, CRASHING, X_Request_Id=f"r{number}", **headers)
             for number in range(TRIES)
         ]
 
     def check_barred(self, path, **headers):
-        """Check that the request ends three upstreams and is then refused at once."""
+        """Check that the request crashes three upstreams and is then refused."""
         answers = self.repeat(path, **headers)
-        self.assertEqual(count_ended(self.upstreams), CRASHES_BORNE)
+        self.assertEqual(count_crashed(self.upstreams), CRASH_LIMIT)
         self.assertEqual(answers[-1].status, 503)
-        # At least half of the two seconds, as callers are spread over the time.
+        # Callers are spread between half and the whole of the two seconds.
         self.assertGreaterEqual(float(answers[-1].headers["retry-after"]), 1.0)
-        # Others of the same customer and route go on.
+        # Other requests of the same customer and route are served.
         self.assertEqual(self.run_.call("POST", path, b"other").status, 200)
 
-    def test_a_crashing_request_that_may_run_once_ends_three_upstreams_at_most(self):
-        # Its caller sends it again after each crash.
+    def test_a_crashing_request_that_may_run_once_crashes_three_upstreams(self):
+        # Only its caller sends it again after each crash.
         self.start()
         self.check_barred("/note/x")
 
-    def test_a_crashing_request_that_is_retried_here_ends_three_upstreams_at_most(self):
-        # The instance itself sends it on to the next upstream, beside its caller.
+    def test_a_crashing_request_that_is_retried_crashes_three_upstreams(self):
+        # Both the instance and the caller retry it.
         self.start()
         self.check_barred("/page/x")
 
-    def test_a_crashing_stream_ends_three_upstreams_at_most(self):
-        # Each run begins to answer, so that its caller has read some events.
+    def test_a_crashing_stream_crashes_three_upstreams(self):
+        # Each attempt sends some events before the crash.
         self.start(begins=True)
         self.check_barred("/chat/x")
 
-    def test_a_crashing_stream_that_is_resumed_ends_three_upstreams_at_most(self):
-        # Each try goes on after the last event, here and by its caller.
+    def test_a_crashing_stream_that_is_resumed_crashes_three_upstreams(self):
+        # Both the instance and the caller resume it after the last event.
         self.start(begins=True)
         self.check_barred("/quote/x", Last_Event_Id="1")
 
@@ -77,14 +77,14 @@
 
 
 def answer_once(listener):
-    """Answer one request."""
+    """Accept one connection and answer its request."""
     with listener.accept()[0] as conn:
         conn.recv(CHUNK)
-        conn.sendall(WHOLE)
+        conn.sendall(COMPLETE)
 
 
 def end_unframed(upstream, conn):
-    """Send a part of an answer without a length, and end."""
+    """Send part of an answer without a length, and close the upstream."""
     conn.sendall(HEAD + b"\r\npart")
     conn.shutdown(socket.SHUT_RDWR)
     upstream.close()
@@ -92,13 +92,13 @@
 
 class TestNoCrash(unittest.TestCase):
     def start(self, *scripts):
-        """Start a gateway before upstreams with these scripts."""
+        """Start a gateway in front of upstreams with these scripts."""
         self.run_ = GatewayRun(DIALECT, *scripts, document=make_document())
         self.addCleanup(self.run_.close)
         return self.run_
 
     def start_crashed(self):
-        """Start before one upstream and let it crash under a request."""
+        """Start a gateway with one upstream and let a request crash it."""
         run = self.start(break_off)
         upstream = run.upstreams[0]
         upstream.script = lambda *request: upstream.close()
@@ -107,25 +107,25 @@
         return run, upstream
 
     def count(self, body):
-        """Return of how many crashes a request is suspected, once that is known."""
-        poll(lambda: not self.run_.gateway.crash_watch.asks)
+        """Return the number of suspected crashes once no probe is open."""
+        poll(lambda: not self.run_.gateway.crash_watch.is_probing)
         return self.count_now(body)
 
     def count_now(self, body, path="/note/x"):
-        """Return of how many crashes a request is suspected now."""
+        """Return the number of crashes that a request is suspected of now."""
         req = HttpRequest("POST", path, "", {"host": "a.example"}, body, True)
         fingerprint = fingerprint_repeats(req, "insurer")
         return self.run_.gateway.crashes.count(fingerprint, read_boottime())
 
-    def test_a_connection_that_is_reset_bars_nobody(self):
-        # A link resets connections all day; the upstreams behind it go on.
+    def test_a_reset_connection_bars_no_request(self):
+        # A link keeps resetting connections, but the upstreams behind it are running.
         self.start(break_off)
         for _ in range(TRIES):
             self.assertEqual(self.run_.call("POST", "/note/x", b"n").status, 502)
         self.assertEqual(self.count(b"n"), 0)
 
     def test_an_upstream_that_answers_again_had_not_crashed(self):
-        # The way to its data centre was cut off, resetting and refusing connections.
+        # Its data centre was cut off, so that connections were reset and refused.
         run, upstream = self.start_crashed()
         with socket.create_server((HOST, upstream.port)) as listener:
             back = threading.Thread(target=answer_once, args=(listener,))
@@ -135,8 +135,8 @@
         self.assertEqual(self.count(b"n"), 0)
 
     def test_an_upstream_that_is_full_and_refuses_connections_has_not_crashed(self):
-        # It takes so many connections of all callers and resets the rest. The others go
-        # on; taken for crashed, whatever is asked of it often would soon be refused.
+        # A full upstream keeps its connections and resets new ones. If it counted as
+        # crashed, its most frequent requests would soon be refused.
         self.start(answer_nothing)
         run, upstream = self.run_, self.run_.upstreams[0]
         beside = threading.Thread(target=run.call, args=("POST", "/note/x", b"slow"))
@@ -151,31 +151,30 @@
         beside.join()
 
     def test_an_upstream_that_stays_registered_has_not_crashed(self):
-        # Nobody sends it anything any more, so that no answer could show it: all that
-        # is asked of its pool was barred.
+        # All requests of its pool are barred, so no answer can show that it is running.
         run, _ = self.start_crashed()
         run.gateway.registrations_since = lambda: float("-inf")
         watch = run.gateway.crash_watch
-        watch.acquit_registered(read_boottime() + LAPSED_AFTER - 1.0)
+        watch.clear_registered(read_boottime() + LAPSED_AFTER - 1.0)
         self.assertEqual(self.count_now(b"n"), 1)
-        watch.acquit_registered(read_boottime() + LAPSED_AFTER + 0.1)
+        watch.clear_registered(read_boottime() + LAPSED_AFTER + 0.1)
         self.assertEqual(self.count_now(b"n"), 0)
 
-    def test_an_upstream_leaves_its_crash_behind_when_its_registration_lapses(self):
+    def test_a_crash_still_counts_after_the_registration_has_lapsed(self):
         run, _ = self.start_crashed()
         watch = run.gateway.crash_watch
-        # While the store is away nothing lapses, nor for some seconds after its return.
+        # No registration lapses while the store is away and some seconds after that.
         for since in (read_boottime() + 1.0, float("inf")):
             run.gateway.registrations_since = lambda since=since: since
-            watch.acquit_registered(read_boottime() + LAPSED_AFTER + 0.1)
+            watch.clear_registered(read_boottime() + LAPSED_AFTER + 0.1)
             self.assertEqual(self.count_now(b"n"), 1)
         run.gateway.registrations_since = lambda: float("-inf")
         run.gateway.remove_upstream("u0", float("-inf"))
-        watch.acquit_registered(read_boottime() + LAPSED_AFTER + 0.1)
+        watch.clear_registered(read_boottime() + LAPSED_AFTER + 0.1)
         self.assertEqual(self.count_now(b"n"), 1)
 
-    def test_an_upstream_that_leaves_ends_what_it_runs_without_blame(self):
-        # Reclaimed upstreams end in the middle of their last requests, wave after wave.
+    def test_requests_at_a_leaving_upstream_are_not_suspected(self):
+        # Reclaimed upstreams end in the middle of their last requests.
         upstream = CrashingUpstream()
         self.addCleanup(upstream.close)
         run = self.start()
@@ -185,14 +184,14 @@
         self.assertEqual(self.count(b"n"), 0)
 
     def leave(self, upstream):
-        """Let an upstream say that it leaves, and end."""
+        """Register an upstream as leaving, then close it."""
         found = self.run_.register("u0", upstream.port, leaving=True)
         self.run_.gateway.put_upstream(found)
         upstream.close()
 
-    def test_a_caller_who_left_before_the_crash_is_found_out_by_the_registration(self):
-        # Its caller leaves and the connection closes with it, so that nobody sees the
-        # upstream end under its request; soon its registration lapses.
+    def test_a_crash_after_the_caller_left_is_detected_by_the_registration(self):
+        # When a caller leaves, the connection to the upstream is closed, so the crash
+        # is detected only when the upstream's registration lapses.
         upstream = CrashingUpstream()
         self.addCleanup(upstream.close)
         upstream.script = lambda *request: None
@@ -209,9 +208,9 @@
         run.gateway.remove_upstream("u0", float("-inf"))
         self.assertEqual(self.count(b"n"), 1)
 
-    def test_an_answer_that_ends_with_its_connection_clears_nobody(self):
-        # It has no length, and its upstream may have crashed in the middle: what came
-        # looks whole. Cleared by it, the request would be sent on and on.
+    def test_an_answer_that_ends_with_its_connection_clears_no_request(self):
+        # An answer without a length looks complete even if its upstream crashed while
+        # sending it. If it cleared the request, the request would be sent forever.
         first, second = CrashingUpstream(), CrashingUpstream()
         self.addCleanup(first.close)
         self.addCleanup(second.close)
@@ -224,27 +223,27 @@
         run.gateway.put_upstream(run.register("u1", second.port))
         self.assertEqual(run.call("POST", "/note/x", CRASHING).status, 200)
         self.assertEqual(self.count(CRASHING), 1)
-        # Its registration lapses, and it refuses connections: it had crashed.
+        # Its registration lapses and it refuses connections, so it has crashed.
         run.gateway.remove_upstream("u1", float("-inf"))
         self.assertEqual(self.count(CRASHING), 2)
 
-    def test_what_is_sent_to_an_upstream_after_its_crash_is_not_suspected(self):
+    def test_a_request_sent_after_the_crash_is_not_suspected(self):
         upstream = CrashingUpstream()
         self.addCleanup(upstream.close)
         run = self.start()
         run.gateway.put_upstream(run.register("u0", upstream.port))
         run.call("POST", "/note/x", CRASHING)
         self.assertEqual(self.count(CRASHING), 1)
-        # Its registration stays for some seconds.
+        # The registration of the crashed upstream lasts some seconds longer.
         self.assertEqual(run.call("POST", "/note/x", b"n").status, 503)
         self.assertEqual(self.count(b"n"), 0)
 
-    def test_an_upstream_that_keeps_its_name_counts_at_each_crash(self):
-        # It is started again under the name it had; counted once, a request could
-        # crash it for ever.
+    def test_each_crash_of_an_upstream_that_keeps_its_name_counts(self):
+        # The upstream restarts under the same name. If its crashes counted as one, a
+        # request could crash it forever.
         run = self.start()
         run.gateway.cfg = run.gateway.cfg._replace(routes="upstreams.toml")
-        for number in range(CRASHES_BORNE):
+        for number in range(CRASH_LIMIT):
             upstream = CrashingUpstream()
             self.addCleanup(upstream.close)
             run.gateway.drop_upstream("u0")
@@ -254,8 +253,8 @@
             self.assertEqual(self.count(CRASHING), number + 1)
         self.assertEqual(run.call("POST", "/note/x", CRASHING).status, 503)
 
-    def test_an_upstream_that_starts_again_in_the_middle_of_a_request_crashed(self):
-        # Its new registration comes before the end of the connection to the old one.
+    def test_an_upstream_that_restarts_during_a_request_has_crashed(self):
+        # The new registration arrives before the old connection is seen to close.
         upstream = CrashingUpstream()
         self.addCleanup(upstream.close)
         upstream.script = lambda *request: None
@@ -270,8 +269,8 @@
         upstream.close()
         caller.join()
 
-    def test_requests_beside_a_crashing_one_are_cleared_by_an_answer(self):
-        # They are suspected as well until then: nobody can tell which it was.
+    def test_harmless_requests_at_a_crash_are_cleared_by_an_answer(self):
+        # Until then they are suspected too, as the cause of the crash is unknown.
         first, second = CrashingUpstream(), CrashingUpstream()
         self.addCleanup(first.close)
         self.addCleanup(second.close)
@@ -323,21 +322,21 @@
             self.lapse()
 
     def lapse(self):
-        """Let the registrations of crashed upstreams lapse, as the platform does."""
-        ended = [f"servers/i-c{n}" for n, u in enumerate(self.upstreams) if u.ended]
-        self.operate(deletes=ended)
+        """Delete the registrations of crashed upstreams, as the platform does."""
+        crashed = [f"servers/i-c{n}" for n, u in enumerate(self.upstreams) if u.crashed]
+        self.operate(deletes=crashed)
 
-    def test_a_crashing_request_is_known_to_all_instances(self):
-        # Its caller meets another instance each time; none sees all of its crashes.
+    def test_a_crashing_request_is_barred_by_all_instances(self):
+        # The caller uses a different instance each time; none sees all of the crashes.
         gateways = [self.start(name) for name in ("one", "two", "three")]
         self.repeat(gateways)
-        self.assertEqual(count_ended(self.upstreams), CRASHES_BORNE)
+        self.assertEqual(count_crashed(self.upstreams), CRASH_LIMIT)
         for number, gateway in enumerate(gateways):
             self.assertEqual(self.send(gateway, f"n{number}"), 503)
             self.assertEqual(self.send(gateway, f"o{number}", b"other"), 200)
 
-    def test_a_crashing_request_is_known_to_instances_that_start_later(self):
-        # All processes end at the same moment, and one is new.
+    def test_a_crashing_request_is_barred_by_instances_that_start_later(self):
+        # All instances are killed and restarted, and a new one is added.
         gateways = [self.start(name) for name in ("one", "two")]
         self.repeat(gateways)
         for gateway in gateways:
@@ -346,4 +345,4 @@
             gateway = self.start(name)
             poll(lambda g=gateway: self.send(g, "o", b"other") == 200)
             self.assertEqual(self.send(gateway, f"n{number}"), 503)
-        self.assertEqual(count_ended(self.upstreams), CRASHES_BORNE)
+        self.assertEqual(count_crashed(self.upstreams), CRASH_LIMIT)
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -86,15 +86,15 @@
         "a barred request is sent",
         (Edit("crashes", "if self.is_barred(fingerprint, now):", "if False:"),),
         (
-            CRASHES + "Counting.test_a_request_is_barred_after_three_upstreams_and_"
-            "told_until_when",
-            CRASHING + "request_that_may_run_once_ends_three_upstreams_at_most",
+            CRASHES + "Counting"
+            ".test_a_request_is_barred_after_three_crashes_for_a_known_time",
+            CRASHING + "request_that_may_run_once_crashes_three_upstreams",
         ),
     ),
     Weakness(
         "a crash counts only once it is proved",
         (Edit("crashes", "State.ASSUMED, State.PROVED)", "State.PROVED,)"),),
-        (CRASHING + "request_that_is_retried_here_ends_three_upstreams_at_most",),
+        (CRASHING + "request_that_is_retried_crashes_three_upstreams",),
     ),
     Weakness(
         "a broken connection proves a crash",
@@ -105,16 +105,20 @@
                 PROBE_ANSWERED.replace("dismiss(", "prove(probe.upstream, "),
             ),
         ),
-        (NO_CRASH + "a_connection_that_is_reset_bars_nobody",),
+        (NO_CRASH + "a_reset_connection_bars_no_request",),
     ),
     Weakness(
         "an upstream that answers has crashed all the same",
-        (Edit("crashes", "self._absolve(upstream, sent_at, now)", "pass"),),
+        (Edit("crashes", "self._withdraw_crash(upstream, sent_at, now)", "pass"),),
         (NO_CRASH + "an_upstream_that_answers_again_had_not_crashed",),
     ),
     Weakness(
         "an upstream that refuses connections has crashed whatever goes on there",
-        (Edit("crash_watch", "if isinstance(exc, REFUSED) and alone:", "if exc:"),),
+        (
+            Edit(
+                "crash_watch", "if isinstance(exc, REFUSED) and unconnected:", "if exc:"
+            ),
+        ),
         (
             NO_CRASH + "an_upstream_that_is_full_and_refuses_connections_has_not_"
             "crashed",
@@ -135,8 +139,8 @@
         "the word of an answer takes later crashes back",
         (Edit("crashes", "if crash is None or crash.at >= at:", "if crash is None:"),),
         (
-            CRASHES + "UpstreamsThatGoOn.test_what_was_said_of_an_answer_takes_no_"
-            "later_crash_back",
+            CRASHES + "RunningUpstreams"
+            ".test_an_old_report_of_an_answer_does_not_withdraw_a_later_crash",
         ),
     ),
     Weakness(
@@ -152,36 +156,33 @@
     Weakness(
         "a leaving upstream's end is a crash",
         (Edit("crash_watch", "elif not registration.leaving:", "else:"),),
-        (NO_CRASH + "an_upstream_that_leaves_ends_what_it_runs_without_blame",),
+        (NO_CRASH + "requests_at_a_leaving_upstream_are_not_suspected",),
     ),
     Weakness(
         "whose caller left is forgotten",
         (Edit("crash_watch", "if item.upstream == name and", "if False and"),),
-        (
-            NO_CRASH + "a_caller_who_left_before_the_crash_is_found_out_by_the_"
-            "registration",
-        ),
+        (NO_CRASH + "a_crash_after_the_caller_left_is_detected_by_the_registration",),
     ),
     Weakness(
         "crashes under one name count once",
         (Edit("crash_watch", 'return f"{name}#{count}" if count', "return name if 1"),),
-        (NO_CRASH + "an_upstream_that_keeps_its_name_counts_at_each_crash",),
+        (NO_CRASH + "each_crash_of_an_upstream_that_keeps_its_name_counts",),
     ),
     Weakness(
         "an answer clears nobody",
-        (Edit("crashes", "self._withdraw(fingerprint, now)\n\n", "pass\n\n"),),
+        (Edit("crashes", "self._withdraw_request(fingerprint, now)\n\n", "pass\n\n"),),
         (
-            CRASHES + "Clearing.test_a_request_that_is_answered_is_cleared_and_old_"
-            "words_change_nothing",
-            NO_CRASH + "requests_beside_a_crashing_one_are_cleared_by_an_answer",
+            CRASHES + "Clearing"
+            ".test_an_answered_request_is_cleared_despite_old_reports",
+            NO_CRASH + "harmless_requests_at_a_crash_are_cleared_by_an_answer",
         ),
     ),
     Weakness(
         "what was just answered is suspected",
-        (Edit("crashes", "< ANSWERED_FOR", "< 0.0"),),
+        (Edit("crashes", "< EXEMPT_FOR", "< 0.0"),),
         (
             "tests.test_crashes_model.TestCrashingRequests."
-            "test_what_many_ask_for_is_not_refused_beside_a_crashing_request",
+            "test_a_popular_request_is_not_refused_because_of_a_crashing_one",
         ),
     ),
     Weakness(
