--- a/src/chervilwing/crashes.py
+++ b/src/chervilwing/crashes.py
@@ -287,8 +287,12 @@
         """Record a proved suspicion; return whether it is new and counts."""
         if at < self._alive.get(suspicion.upstream, -inf):
             return False
-        known = self._suspects.get(suspicion.fingerprint)
-        state = known and now < known.until and known.crashes.get(suspicion.upstream)
+        existing = self._suspects.get(suspicion.fingerprint)
+        state = (
+            existing
+            and now < existing.until
+            and existing.crashes.get(suspicion.upstream)
+        )
         if state in (State.PROVED, State.WITHDRAWN):
             return False
         suspect = self._find_or_add(suspicion.fingerprint, now)
--- a/src/chervilwing/prompt_caches.py
+++ b/src/chervilwing/prompt_caches.py
@@ -69,18 +69,18 @@
         A cached part is usable only together with all parts before it, so the last part
         that is recorded implies that those before it are cached too.
         """
-        kept = self._parts.get(upstream, ())
+        cached = self._parts.get(upstream, ())
         tokens = sum(part.tokens for part in parts)
         for part in reversed(parts):
-            if part.name in kept:
+            if part.name in cached:
                 return tokens
             tokens -= part.tokens
         return 0
 
     def _add_part(self, upstream, name, tokens, memory_tokens):
-        kept = self._parts.setdefault(upstream, OrderedDict())
-        size = self._sizes.get(upstream, 0) + tokens - kept.pop(name, 0)
-        kept[name] = tokens
-        while size > memory_tokens * SHARED_FRACTION and len(kept) > 1:
-            size -= kept.popitem(last=False)[1]
+        cached = self._parts.setdefault(upstream, OrderedDict())
+        size = self._sizes.get(upstream, 0) + tokens - cached.pop(name, 0)
+        cached[name] = tokens
+        while size > memory_tokens * SHARED_FRACTION and len(cached) > 1:
+            size -= cached.popitem(last=False)[1]
         self._sizes[upstream] = size
--- a/src/chervilwing/rollouts.py
+++ b/src/chervilwing/rollouts.py
@@ -327,10 +327,10 @@
         pool, version, route, which = msgspec.json.decode(name)
         if pool != rollout.order.pool:
             continue
-        side = tried if version == rollout.order.target else current
-        known = side.get(route, Answers())._asdict()
-        known[which] += round(number)
-        side[route] = Answers(**known)
+        by_route = tried if version == rollout.order.target else current
+        counts = by_route.get(route, Answers())._asdict()
+        counts[which] += round(number)
+        by_route[route] = Answers(**counts)
     return tried, current
 
 
--- a/src/chervilwing/sizing.py
+++ b/src/chervilwing/sizing.py
@@ -70,8 +70,8 @@
     def __init__(self):
         self.rate = 0.0
         self._totals = {}
-        self._at = None
-        self._since = None
+        self._measured_at = None
+        self._measured_since = None
         self._count = 0
         self._peaks = deque()
 
@@ -80,24 +80,24 @@
 
         ``totals`` maps an instance's name to its start time and its total since then.
         """
-        if self._at is not None and now - self._at < MEASURE_INTERVAL:
+        if self._measured_at is not None and now - self._measured_at < MEASURE_INTERVAL:
             return
         gained = sum(
             max(0.0, total - self._totals[name][1])
             for name, (start, total) in totals.items()
             if name in self._totals and self._totals[name][0] == start
         )
-        if self._at is not None:
-            self._blend(gained / (now - self._at), now)
-        self._totals, self._at = dict(totals), now
+        if self._measured_at is not None:
+            self._blend(gained / (now - self._measured_at), now)
+        self._totals, self._measured_at = dict(totals), now
         self._peaks.append((now, self.rate))
         while now - self._peaks[0][0] > PEAK_WINDOW:
             self._peaks.popleft()
 
     def _blend(self, rate, now):
-        if rate and self._since is None:
-            self._since = now
-        if self._since is not None:
+        if rate and self._measured_since is None:
+            self._measured_since = now
+        if self._measured_since is not None:
             # The first measurements have equal weight, as there is no earlier rate.
             self._count += 1
             weight = max(MEASURE_WEIGHT, 1.0 / self._count)
@@ -105,7 +105,10 @@
 
     def is_settled(self, now):
         """Return whether work has been measured for long enough to be trusted."""
-        return self._since is not None and now - self._since >= SETTLE_TIME
+        return (
+            self._measured_since is not None
+            and now - self._measured_since >= SETTLE_TIME
+        )
 
     def measure_peak(self):
         """Return the highest recent rate."""
--- a/src/chervilwing/stored_crashes.py
+++ b/src/chervilwing/stored_crashes.py
@@ -145,10 +145,12 @@
         for upstream in due:
             _, found = self._unsaved.pop(upstream)
             key = make_key(upstream, self._name)
-            known = self._crashes.get(key, StoredCrash(upstream, ()))
-            found = self._select(upstream, dict.fromkeys([*known.fingerprints, *found]))
-            room = key in self._crashes or len(self._crashes) < MAX_STORED
-            if room and set(found) - set(known.fingerprints):
+            stored = self._crashes.get(key, StoredCrash(upstream, ()))
+            found = self._select(
+                upstream, dict.fromkeys([*stored.fingerprints, *found])
+            )
+            has_room = key in self._crashes or len(self._crashes) < MAX_STORED
+            if has_room and set(found) - set(stored.fingerprints):
                 return CrashWrite(key, StoredCrash(upstream, found))
         return None
 
@@ -156,13 +158,13 @@
         due = [key for key, at in self._rewrites.items() if now >= at]
         for key in due:
             del self._rewrites[key]
-            known = self._crashes.get(key)
-            if known is None:
+            stored = self._crashes.get(key)
+            if stored is None:
                 continue
-            found = self._select(known.upstream, known.fingerprints)
-            if set(found) != set(known.fingerprints):
+            found = self._select(stored.upstream, stored.fingerprints)
+            if set(found) != set(stored.fingerprints):
                 revision = None if self._is_own(key) else self._revisions[key]
-                return CrashWrite(key, StoredCrash(known.upstream, found), revision)
+                return CrashWrite(key, StoredCrash(stored.upstream, found), revision)
         return None
 
     def _select(self, upstream, fingerprints):
--- a/src/chervilwing/upstream_limits.py
+++ b/src/chervilwing/upstream_limits.py
@@ -181,18 +181,18 @@
 
     def _update(self, upstream, limit, now):
         """Store a limit unless a newer one is known."""
-        known = self._limits.get(upstream)
-        if known is not None and limit.at <= known.at:
+        current = self._limits.get(upstream)
+        if current is not None and limit.at <= current.at:
             return
         self._limits[upstream] = limit
-        if known is not None and known.rate == limit.rate:
+        if current is not None and current.rate == limit.rate:
             return
         if limit.rate < inf:
             account = self._accounts[upstream] = make_account(upstream, limit.rate)
             self._allowances.set_limit(account, now)
         else:
             self._lift(upstream)
-        self._on_change(upstream, read_rate(limit), read_rate(known))
+        self._on_change(upstream, read_rate(limit), read_rate(current))
 
     def _lift(self, upstream):
         account = self._accounts.pop(upstream, None)
--- a/tests/crash_fleet.py
+++ b/tests/crash_fleet.py
@@ -71,12 +71,12 @@
         self.centre = centre
         self.fault_at = now
         self.records = CrashRecords(name)
-        self.leader = Fanout()
-        self.others = {}
-        self.seen = 0
+        self.leader_fanout = Fanout()
+        self.group_fanouts = {}
+        self.store_position = 0
 
 
-class Sent(NamedTuple):
+class SentRequest(NamedTuple):
     """A crashing request sent to an engine.
 
     ``in_contact`` is true if its instance was in contact with the other instances.
@@ -90,14 +90,14 @@
 class Fleet:
     """Simulated instances, engines, callers, network and store."""
 
-    def __init__(self, size, engines, seed, loss=0.03, share=1, stubborn=0.0):
+    def __init__(self, size, engines, seed, loss=0.03, copies=1, stubborn_fraction=0.0):
         self.rng = random.Random(seed)
         self.now = 0.0
         self.loss = loss
         # Number of copies of each harmless request.
-        self.share = share
+        self.copies = copies
         # Fraction of the callers that try STUBBORN_TRIES times.
-        self.stubborn = stubborn
+        self.stubborn_fraction = stubborn_fraction
         self.nodes = {}
         self.cut_off = set()
         self.no_store = set()
@@ -127,7 +127,7 @@
         for node in self.nodes.values():
             centres.setdefault(node.centre, []).append(node.name)
         self.groups = arrange(centres)
-        self.group_of = {n: g for g, names in self.groups.items() for n in names}
+        self.group_by_name = {n: g for g, names in self.groups.items() for n in names}
 
     def cut(self, names, store=True, others=True):
         """Cut instances off from the store, from all other instances, or from both.
@@ -166,8 +166,10 @@
                 self.restart_at.remove(at)
                 self._start_engine()
             for _ in range(int(rate * STEP + self.rng.random())):
-                fingerprint = f"{next(self._serial) // self.share:016x}"
-                tries = STUBBORN_TRIES if self.rng.random() < self.stubborn else 2
+                fingerprint = f"{next(self._serial) // self.copies:016x}"
+                tries = (
+                    STUBBORN_TRIES if self.rng.random() < self.stubborn_fraction else 2
+                )
                 kind = Kind(
                     False, self.rng.random() < RETRIED_FRACTION, caller_tries=tries
                 )
@@ -221,7 +223,7 @@
         if kind.crashing:
             calm = self.now - node.fault_at > IN_CONTACT_AFTER
             in_contact = calm and node.name not in self.no_store
-            self.sent.append(Sent(fingerprint, self.now, in_contact))
+            self.sent.append(SentRequest(fingerprint, self.now, in_contact))
 
     def _end_runs(self):
         for attempt in sorted(self.running, key=lambda item: item.ends_at):
@@ -267,14 +269,14 @@
         return not lost and (one == other or not {one, other} & self.cut_off)
 
     def _exchange_news(self, node):
-        names = self.groups[self.group_of[node.name]]
+        names = self.groups[self.group_by_name[node.name]]
         before = names[: names.index(node.name)]
-        if node.leader.choose(before, self.now) is not None:
-            self._ask(node, node.leader)
+        if node.leader_fanout.choose(before, self.now) is not None:
+            self._ask(node, node.leader_fanout)
             return
         for group, others in self.groups.items():
-            if group != self.group_of[node.name]:
-                fanout = node.others.setdefault(group, Fanout())
+            if group != self.group_by_name[node.name]:
+                fanout = node.group_fanouts.setdefault(group, Fanout())
                 if fanout.choose(others, self.now) is not None:
                     self._ask(node, fanout)
 
@@ -283,7 +285,7 @@
         if number is None or not self._reaches(node.name, fanout.target):
             return
         other = self.nodes.get(fanout.target)
-        same_group = self.group_of[node.name] == self.group_of[other.name]
+        same_group = self.group_by_name[node.name] == self.group_by_name[other.name]
         for news in node.records.list_told(self.now):
             other.records.hear(news, self.now, same_group)
         if not self._reaches(node.name, other.name):
@@ -295,19 +297,19 @@
     def _follow_store(self, node):
         if node.name in self.no_store:
             return
-        if node.leader.target is None:
+        if node.leader_fanout.target is None:
             while (write := node.records.stored.pop_write(self.now)) is not None:
                 self._write(write)
         else:
             node.records.stored.drop_writes(self.now)
         # An instance that has just started reads the whole store at once.
-        fresh = node.seen == 0
-        while node.seen < len(self.log):
-            at, key, crash = self.log[node.seen]
+        fresh = node.store_position == 0
+        while node.store_position < len(self.log):
+            at, key, crash = self.log[node.store_position]
             if not fresh and at > self.now:
                 break
-            node.records.hear_stored(key, crash, node.seen, self.now)
-            node.seen += 1
+            node.records.hear_stored(key, crash, node.store_position, self.now)
+            node.store_position += 1
 
     def _write(self, write):
         key, crash, expected = write
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -47,12 +47,15 @@
     """Instances, upstreams and a steady load of ``rate`` requests per second.
 
     ``retried`` is the fraction of requests that are retried because the upstream didn't
-    run them, ``alone`` the fraction whose question to the choosing instance is lost.
+    run them, ``lost_questions`` the fraction whose question to the choosing instance is
+    lost.
     """
 
-    def __init__(self, size, upstreams, rate, seed, retried=0.0, alone=0.0, **network):
+    def __init__(
+        self, size, upstreams, rate, seed, retried=0.0, lost_questions=0.0, **network
+    ):
         self.upstreams = {f"u{number}": Upstream() for number in range(upstreams)}
-        self.rate, self.retried, self.alone = rate, retried, alone
+        self.rate, self.retried, self.lost_questions = rate, retried, lost_questions
         self.in_flight = dict.fromkeys(self.upstreams, 0)
         self.arrivals = []
         self.refused_at = []
@@ -96,7 +99,7 @@
         placer = self._find_placer(name)
         if placer == name:
             self._send(name, self._choose_for(name), tries)
-        elif placer is None or self.rng.random() < self.alone:
+        elif placer is None or self.rng.random() < self.lost_questions:
             self._call_later(ANSWER_TIMEOUT, self._send_alone, name, tries)
         else:
             upstream = self._choose_for(placer)
@@ -147,12 +150,14 @@
         if name not in self.nodes or self._is_frozen(name):
             return
         limits = self.nodes[name].limits
-        known = placer in self.nodes and self.nodes[placer].limits.is_limited(upstream)
+        charged = placer in self.nodes and self.nodes[placer].limits.is_limited(
+            upstream
+        )
         if upstream is None or (
-            not known and limits.list_exhausted({upstream: None}, self.now)
+            not charged and limits.list_exhausted({upstream: None}, self.now)
         ):
             upstream = self._choose_upstream(name)
-        elif not known:
+        elif not charged:
             limits.charge(upstream, self.now)
         self._send(name, upstream, tries)
 
@@ -192,7 +197,7 @@
             item.upstream == upstream and item.at >= since for item in self.arrivals
         )
 
-    def measure_most(self, upstream, window, all_senders=False):
+    def count_most_in_window(self, upstream, window, all_senders=False):
         """Return the largest number of requests in any window under a limit.
 
         Only ``counted`` arrivals are included, unless ``all_senders`` is set.
--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -44,7 +44,7 @@
         return sum(since <= at < until for at in self.arrivals)
 
 
-def measure_most(arrivals, since, window):
+def count_most_in_window(arrivals, since, window):
     """Return the largest number of arrivals in any window since a time."""
     later = [at for at in arrivals if at >= since]
     return max(
--- a/tests/old_loads.py
+++ b/tests/old_loads.py
@@ -57,7 +57,7 @@
 )
 
 
-SHORTEST = min(kind.target for kind in KINDS)
+SHORTEST_TARGET = min(kind.target for kind in KINDS)
 # Different work on the same engines: fewer, longer prompts that share less.
 SHIFTED = (
     Kind("plan", 50.0, (2520, 4), (3780, 560), 5800, 52, 0.8),
@@ -75,10 +75,10 @@
 
     def read(self, demand, now):
         """Return when the prompt will have been read."""
-        tokens, known = demand.prompt_tokens, True
+        tokens, cached = demand.prompt_tokens, True
         for part in demand.parts[:-1]:
-            known = known and part.name in self.parts
-            tokens -= part.tokens if known else 0
+            cached = cached and part.name in self.parts
+            tokens -= part.tokens if cached else 0
             self.parts.add(part.name)
         self.free_at = max(self.free_at, now) + tokens / ENGINE_RATE
         return self.free_at
@@ -159,17 +159,17 @@
             # Gateways get reports at different times, so the ages of their data vary.
             phase = (now / (self._age[1] - self._age[0]) + number * 0.618) % 1.0
             age = self._age[0] + phase * (self._age[1] - self._age[0])
-            found = [item for item in self._snapshots if now - item[0] >= age]
-            if not found:
+            old_enough = [item for item in self._snapshots if now - item[0] >= age]
+            if not old_enough:
                 continue
-            _, loads, sums, placed = found[-1]
+            _, loads, sums, placed = old_enough[-1]
             pool.learn(placed)
-            others = {
+            peer_loads = {
                 name: InFlight(*(a - b for a, b in zip(total, own, strict=True)))
                 for name, total in sums.items()
                 for own in (loads[number][name],)
             }
-            pool.hear(others, now + 9.0)
+            pool.hear(peer_loads, now + 9.0)
         self._push(now + SNAPSHOT_INTERVAL, self._report_loads)
 
     def _arrive(self, now, kind):
@@ -198,7 +198,7 @@
         else:
             station, estimate = self._ask(pool, demand, now)
             waited = ASK_TIME
-        if pool.is_crowded(estimate, SHORTEST):
+        if pool.is_crowded(estimate, SHORTEST_TARGET):
             self.waits[kind.name].append(REFUSED)
             self._receive_ended(now, station, demand)
             return
@@ -213,9 +213,9 @@
     def _ask(self, pool, demand, now):
         """Return the placer's choice: the asking gateway's own Station and Estimate."""
         origin = Origin("a", PLACER)
-        found, estimate = self._placer.choose(demand, (), now, origin)
-        self._placer.place(demand.request_id, demand, (found, estimate), now)
-        name = found.registration.name
+        chosen, estimate = self._placer.choose(demand, (), now, origin)
+        self._placer.place(demand.request_id, demand, (chosen, estimate), now)
+        name = chosen.registration.name
         source = estimate.source and pool.stations[estimate.source.registration.name]
         return pool.stations[name], estimate._replace(source=source)
 
@@ -232,10 +232,10 @@
             self._push(now + REPORT_TIME, self._receive_ended, station, demand)
 
     def _receive_started(self, now, station, demand, at):
-        known = self._placer.stations[station.registration.name]
-        self._placer.start_placed(known, demand.request_id, at)
+        placer_station = self._placer.stations[station.registration.name]
+        self._placer.start_placed(placer_station, demand.request_id, at)
 
     def _receive_ended(self, now, station, demand):
-        known = self._placer.stations[station.registration.name]
-        self._placer.end_placed(known, demand.request_id, None, now)
+        placer_station = self._placer.stations[station.registration.name]
+        self._placer.end_placed(placer_station, demand.request_id, None, now)
         self._placer.expire_placed(now)
--- a/tests/test_crashes_model.py
+++ b/tests/test_crashes_model.py
@@ -109,7 +109,7 @@
             limit = fleet.tries * REFUSED_FRACTION
             self.assertLessEqual(fleet.refused_tries, limit)
 
-        self.check_all(check, CRASHING, share=10**9)
+        self.check_all(check, CRASHING, copies=10**9)
 
     def test_few_harmless_requests_are_refused_because_of_a_crashing_one(self):
         # They are in flight at the engines that crash, some of them twice.
@@ -118,4 +118,4 @@
             self.assertLessEqual(len(fleet.refused), limit)
 
         one = dict(list(CRASHING.items())[:1])
-        self.check_all(check, one, stubborn=STUBBORN_FRACTION)
+        self.check_all(check, one, stubborn_fraction=STUBBORN_FRACTION)
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -5,7 +5,7 @@
 
 from chervilwing.platform.headers import DIALECT
 from tests.gateways import GatewayRun, make_document
-from tests.limiting import LimitingUpstream, measure_most, send_steadily
+from tests.limiting import LimitingUpstream, count_most_in_window, send_steadily
 from tests.test_platform import PlatformCase
 
 # Requests per second that upstreams state as their limit, and that callers send.
@@ -37,7 +37,7 @@
     def check_limit_is_met(self, upstream):
         """Check that an upstream gets its limit and at most that in any window."""
         since = upstream.arrivals[0] + COMPLIES_AFTER
-        most = measure_most(upstream.arrivals, since, WINDOW)
+        most = count_most_in_window(upstream.arrivals, since, WINDOW)
         self.assertLessEqual(most, MOST)
         self.assertGreaterEqual(
             upstream.count_arrivals(since, since + WINDOW), WINDOW - 1
@@ -120,7 +120,7 @@
         # If each instance used the whole limit, they would send three times as much.
         statuses = send_steadily(self.call_any, RATE, KNOWN_AFTER + WINDOW + 1.0)
         since = self.limited.arrivals[0] + KNOWN_AFTER
-        most = measure_most(self.limited.arrivals, since, WINDOW)
+        most = count_most_in_window(self.limited.arrivals, since, WINDOW)
         self.assertLessEqual(most, MOST)
         count = self.limited.count_arrivals(since, since + WINDOW)
         self.assertGreaterEqual(count, WINDOW - 1)
--- a/tests/test_limited_upstreams_model.py
+++ b/tests/test_limited_upstreams_model.py
@@ -59,7 +59,7 @@
     def check(self, fleet, limit):
         """Check that a limit is met in any window, and that it is used up."""
         # Without faults, the bound holds for the requests of all senders.
-        most = fleet.measure_most("u0", WINDOW, all_senders=True)
+        most = fleet.count_most_in_window("u0", WINDOW, all_senders=True)
         self.assertLessEqual(most, compute_bound(limit))
         self.assertLessEqual(most, compute_tolerated(limit))
         used = fleet.count("u0", fleet.now - 2 * WINDOW)
@@ -89,7 +89,9 @@
         # are lost.
         for size in (3, 8, 67):
             with self.subTest(size=size):
-                fleet = self.run_limited(size, 1.0, retried=0.5, alone=0.3, loss=0.02)
+                fleet = self.run_limited(
+                    size, 1.0, retried=0.5, lost_questions=0.3, loss=0.02
+                )
                 self.check(fleet, 1.0)
 
     def test_requests_are_refused_when_all_upstreams_are_limited(self):
@@ -136,7 +138,7 @@
             for limit in (1.0, 20.0):
                 with self.subTest(size=size, seed=seed, limit=limit):
                     fleet = self.run_faults(size, limit, seed)
-                    most = fleet.measure_most("u0", WINDOW)
+                    most = fleet.count_most_in_window("u0", WINDOW)
                     self.assertLessEqual(most, compute_bound(limit, MAX_PARTS))
                     self.assertLessEqual(most, compute_tolerated(limit))
 
@@ -144,7 +146,7 @@
         """Return a fleet that has run through random faults with a limit stated."""
         rng = random.Random(seed)
         rate = 40.0 + 10.0 * limit
-        fleet = LimitedFleet(size, 6, rate, seed, retried=0.2, alone=0.05)
+        fleet = LimitedFleet(size, 6, rate, seed, retried=0.2, lost_questions=0.05)
         fleet.run(SETTLE)
         fleet.set_limit("u0", limit)
         fleet.run(SETTLE)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -178,10 +178,10 @@
         self.rate = self.rng.uniform(20.0, 300.0)
         seconds = self.rng.uniform(10.0, 40.0)
         self.order = ORDER._replace(seconds=seconds)
-        self.usual = self.rng.choice((0.0, 0.01, 0.14))
+        self.base_rate = self.rng.choice((0.0, 0.01, 0.14))
         self.fails = fails
-        self.all = [make_rollouts() for _ in range(instances)]
-        for rollouts in self.all:
+        self.instances = [make_rollouts() for _ in range(instances)]
+        for rollouts in self.instances:
             rollouts.open.clear()
             rollouts.put_order(self.order, 7)
         self.requests = self.exposed = self.bad = 0
@@ -195,11 +195,11 @@
         for step in range(int((self.order.seconds + 1.0) * 10)):
             now = step / 10
             for at, decision in [item for item in due if item[0] <= now]:
-                for rollouts in self.all:
+                for rollouts in self.instances:
                     rollouts.put_decision("engines", decision, int(at * 10))
             due = [item for item in due if item[0] > now]
             self._ask(now)
-            reports.append((now, self._sum()))
+            reports.append((now, self._sum_answers()))
             while reports and now - reports[0][0] >= ANSWER_AGE:
                 answers = reports.pop(0)[1]
             if step % int(EVALUATE_INTERVAL * 10) == 0:
@@ -208,13 +208,13 @@
 
     def _ask(self, now):
         for _ in range(int(self.rate / 10 + self.rng.random())):
-            rollouts = self.rng.choice(self.all)
+            rollouts = self.rng.choice(self.instances)
             rollouts.as_of = now
             excluded = rollouts.list_excluded(
                 "engines", STATIONS, self.rng.random(), now
             )
             tried = "u3" not in excluded
-            bad = self.rng.random() < self.usual
+            bad = self.rng.random() < self.base_rate
             if tried:
                 bad = bad or self.fails(now, self.rng.random())
                 self._expose(bad, now)
@@ -230,16 +230,16 @@
         late = self.fiftieth_at is not None and now > self.fiftieth_at + ROLLED_BACK_IN
         self.late_requests += late
 
-    def _sum(self):
+    def _sum_answers(self):
         total = {}
-        for rollouts in self.all:
+        for rollouts in self.instances:
             for name, number in rollouts.answers.items():
                 total[name] = total.get(name, 0.0) + number
         return total
 
     def _evaluate(self, answers, due, now):
         decision = self.state and Decision(7, "v2", self.state, 0.0)
-        rollout = self.all[0].open["engines"]._replace(decision=decision)
+        rollout = self.instances[0].open["engines"]._replace(decision=decision)
         state = decide(rollout, *split_answers(answers, rollout), now)
         if state is not None:
             assert self.state is None or state in NEXT_STATES[self.state]
--- a/tests/test_sizing.py
+++ b/tests/test_sizing.py
@@ -30,8 +30,8 @@
     for centre in CENTRES:
         for number in range(reclaimable):
             name = f"{centre}{number}"
-            gone = centre in leaving
-            members.append(make_member(name, centre, True, gone))
+            is_leaving = centre in leaving
+            members.append(make_member(name, centre, True, is_leaving))
     return members + [make_member(f"o{c}{i}", c, False) for i, c in enumerate(others)]
 
 
@@ -66,9 +66,9 @@
         self.assertEqual(count(plan, False), 0)
 
     def test_a_first_notice_orders_little_while_another_loss_is_bearable(self):
-        # Four instances in two data centres carry the work, and two still would. If
-        # they were ordered at the first notice, on-demand instances would be idle for
-        # as long as reclaimable ones are unavailable.
+        # Four instances in two data centres carry the work, and two still would.
+        # On-demand instances ordered at the first notice would be idle for as long as
+        # reclaimable ones are unavailable.
         plan = self.plan(make_members(leaving=("b",)))
         self.assertEqual(count(plan, False), 1)
         self.sizing.meter.rate = 0.5
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -492,7 +492,7 @@
         (
             Edit(
                 "prompt_caches",
-                "while size > memory_tokens * SHARED_FRACTION and len(kept) > 1:",
+                "while size > memory_tokens * SHARED_FRACTION and len(cached) > 1:",
                 "while False:",
             ),
         ),
