--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -31,7 +31,9 @@
 STALE = "if not route.open and not self._keys_are_fresh():"
 PROBE_ANSWERED = """            self._dismiss(suspicions)
         self._streams.drop(conn)"""
-ADMITTED = "return account is None or self._allowances.charge(account, REQUEST, now)"
+ADMITTED = (
+    "return account is None or self._allowances.charge(account, REQUEST_COST, now)"
+)
 LIMITED = "tests.test_limited_upstreams.TestOneInstance.test_"
 LIMITED_MODEL = "tests.test_limited_upstreams_model.TestCalm.test_"
 PIECE = "data = relay.events.feed(data)"
@@ -41,17 +43,24 @@
         "an upstream's limit is not looked at",
         (Edit("upstream_limits", ADMITTED, "return True"),),
         (
-            LIMITED + "an_upstream_gets_the_limit_it_names_and_the_others_the_rest",
+            LIMITED + "an_upstream_gets_its_limit_and_the_others_the_rest",
             LIMITED + "retries_count_towards_the_limit",
             LIMITED + "resumed_streams_count_towards_the_limit",
         ),
     ),
     Weakness(
         "a limit is told to nobody",
-        (Edit("upstream_limits", "for upstream, rate, age in told:", "for _ in ():"),),
         (
-            "tests.test_upstream_limits.TestBelief.test_others_believe_the_latest",
-            LIMITED_MODEL + "a_limit_is_held_and_used_by_few_instances",
+            Edit(
+                "upstream_limits",
+                "for upstream, rate, age in reported:",
+                "for _ in ():",
+            ),
+        ),
+        (
+            "tests.test_upstream_limits.TestCurrentLimit"
+            ".test_instances_use_the_newest_report",
+            LIMITED_MODEL + "few_instances_meet_and_use_a_limit",
         ),
     ),
     Weakness(
@@ -63,13 +72,13 @@
                 "accrued = bucket.rate * elapsed",
             ),
         ),
-        (LIMITED_MODEL + "a_limit_is_held_and_used_by_few_instances",),
+        (LIMITED_MODEL + "few_instances_meet_and_use_a_limit",),
     ),
     Weakness(
         "an answer that was overtaken ends a limit",
         (Edit("upstream_limits", "NamedLimit(inf, sent_at)", "NamedLimit(inf, now)"),),
         (
-            "tests.test_upstream_limits.TestBelief"
+            "tests.test_upstream_limits.TestCurrentLimit"
             ".test_an_older_answer_without_a_limit_does_not_end_it",
         ),
     ),
@@ -77,15 +86,15 @@
         "a barred request is sent",
         (Edit("crashes", "if self.is_barred(fingerprint, now):", "if False:"),),
         (
-            CRASHES + "Counting.test_a_request_is_barred_after_three_upstreams_and_"
-            "told_until_when",
-            CRASHING + "request_that_may_run_once_ends_three_upstreams_at_most",
+            CRASHES + "Counting"
+            ".test_a_request_is_barred_after_three_crashes_for_a_known_time",
+            CRASHING + "request_that_may_run_once_crashes_three_upstreams",
         ),
     ),
     Weakness(
         "a crash counts only once it is proved",
         (Edit("crashes", "State.ASSUMED, State.PROVED)", "State.PROVED,)"),),
-        (CRASHING + "request_that_is_retried_here_ends_three_upstreams_at_most",),
+        (CRASHING + "request_that_is_retried_crashes_three_upstreams",),
     ),
     Weakness(
         "a broken connection proves a crash",
@@ -96,16 +105,20 @@
                 PROBE_ANSWERED.replace("dismiss(", "prove(probe.upstream, "),
             ),
         ),
-        (NO_CRASH + "a_connection_that_is_reset_bars_nobody",),
+        (NO_CRASH + "a_reset_connection_bars_no_request",),
     ),
     Weakness(
         "an upstream that answers has crashed all the same",
-        (Edit("crashes", "self._absolve(upstream, sent_at, now)", "pass"),),
+        (Edit("crashes", "self._withdraw_crash(upstream, sent_at, now)", "pass"),),
         (NO_CRASH + "an_upstream_that_answers_again_had_not_crashed",),
     ),
     Weakness(
         "an upstream that refuses connections has crashed whatever goes on there",
-        (Edit("crash_watch", "if isinstance(exc, REFUSED) and alone:", "if exc:"),),
+        (
+            Edit(
+                "crash_watch", "if isinstance(exc, REFUSED) and unconnected:", "if exc:"
+            ),
+        ),
         (
             NO_CRASH + "an_upstream_that_is_full_and_refuses_connections_has_not_"
             "crashed",
@@ -126,8 +139,8 @@
         "the word of an answer takes later crashes back",
         (Edit("crashes", "if crash is None or crash.at >= at:", "if crash is None:"),),
         (
-            CRASHES + "UpstreamsThatGoOn.test_what_was_said_of_an_answer_takes_no_"
-            "later_crash_back",
+            CRASHES + "RunningUpstreams"
+            ".test_an_old_report_of_an_answer_does_not_withdraw_a_later_crash",
         ),
     ),
     Weakness(
@@ -143,36 +156,33 @@
     Weakness(
         "a leaving upstream's end is a crash",
         (Edit("crash_watch", "elif not registration.leaving:", "else:"),),
-        (NO_CRASH + "an_upstream_that_leaves_ends_what_it_runs_without_blame",),
+        (NO_CRASH + "requests_at_a_leaving_upstream_are_not_suspected",),
     ),
     Weakness(
         "whose caller left is forgotten",
         (Edit("crash_watch", "if item.upstream == name and", "if False and"),),
-        (
-            NO_CRASH + "a_caller_who_left_before_the_crash_is_found_out_by_the_"
-            "registration",
-        ),
+        (NO_CRASH + "a_crash_after_the_caller_left_is_detected_by_the_registration",),
     ),
     Weakness(
         "crashes under one name count once",
         (Edit("crash_watch", 'return f"{name}#{count}" if count', "return name if 1"),),
-        (NO_CRASH + "an_upstream_that_keeps_its_name_counts_at_each_crash",),
+        (NO_CRASH + "each_crash_of_an_upstream_that_keeps_its_name_counts",),
     ),
     Weakness(
         "an answer clears nobody",
-        (Edit("crashes", "self._withdraw(fingerprint, now)\n\n", "pass\n\n"),),
+        (Edit("crashes", "self._withdraw_request(fingerprint, now)\n\n", "pass\n\n"),),
         (
-            CRASHES + "Clearing.test_a_request_that_is_answered_is_cleared_and_old_"
-            "words_change_nothing",
-            NO_CRASH + "requests_beside_a_crashing_one_are_cleared_by_an_answer",
+            CRASHES + "Clearing"
+            ".test_an_answered_request_is_cleared_despite_old_reports",
+            NO_CRASH + "harmless_requests_at_a_crash_are_cleared_by_an_answer",
         ),
     ),
     Weakness(
         "what was just answered is suspected",
-        (Edit("crashes", "< ANSWERED_FOR", "< 0.0"),),
+        (Edit("crashes", "< EXEMPT_FOR", "< 0.0"),),
         (
             "tests.test_crashes_model.TestCrashingRequests."
-            "test_what_many_ask_for_is_not_refused_beside_a_crashing_request",
+            "test_a_popular_request_is_not_refused_because_of_a_crashing_one",
         ),
     ),
     Weakness(
@@ -245,7 +255,7 @@
                 "if name not in excluded",
             ),
         ),
-        ("tests.test_balancing.TestLeaving.test_a_leaving_one_gets_nothing",),
+        ("tests.test_balancing.TestLeaving.test_a_leaving_upstream_gets_no_requests",),
     ),
     Weakness(
         "an older change replaces a newer one",
@@ -398,17 +408,17 @@
         (
             Edit(
                 "placing",
-                "item = self._open.pop(answer.number, None)",
-                "item = self._open.get(answer.number)",
+                "item = self._pending.pop(answer.number, None)",
+                "item = self._pending.get(answer.number)",
             ),
-            Edit("placing", "        del self._open[number]\n", ""),
+            Edit("placing", "        del self._pending[number]\n", ""),
         ),
         (PLACING + "each_request_is_sent_once",),
     ),
     Weakness(
         "what is placed stays placed",
-        (Edit("stations", "if now >= sent.over_by:", "if False:"),),
-        (PLACING + "what_nobody_speaks_of_any_more_is_forgotten",),
+        (Edit("stations", "if now >= sent.assumed_ended_at:", "if False:"),),
+        (PLACING + "placed_requests_without_reports_expire",),
     ),
     Weakness(
         "a placer's word goes before one's own knowledge",
@@ -419,26 +429,40 @@
                 "if station is None:",
             ),
         ),
-        (PLACING + "an_upstream_that_the_asker_knows_to_leave_gets_nothing_new",),
+        (PLACING + "a_leaving_upstream_known_to_the_asker_gets_no_requests",),
     ),
     Weakness(
         "all are let in",
         (
             Edit(
-                "balancing", "return estimate.ahead / self.rate > most", "return False"
+                "balancing",
+                "return estimate.queued_tokens / self.rate > limit",
+                "return False",
             ),
         ),
-        (LOADS + "a_pool_that_is_asked_for_too_much_does_what_it_can",),
+        (LOADS + "an_overloaded_pool_still_serves_what_it_can",),
     ),
     Weakness(
         "who hears nothing goes on to try a version",
-        (Edit("rollouts", "heard = now - self.as_of <= HEARD_FOR", "heard = True"),),
-        (ROLLOUTS + "TestWhoMayGoWhere.test_who_hears_nothing_tries_nothing",),
+        (
+            Edit(
+                "rollouts",
+                "up_to_date = now - self.as_of <= MAX_DECISION_AGE",
+                "up_to_date = True",
+            ),
+        ),
+        (
+            ROLLOUTS + "TestExcludedUpstreams"
+            ".test_an_instance_without_news_sends_no_trial_requests",
+        ),
     ),
     Weakness(
         "a new version gets as much as it has upstreams",
-        (Edit("rollouts", "TRIAL_PART = 0.04", "TRIAL_PART = 0.5"),),
-        (ROLLOUTS + "TestDrawnRollouts.test_bad_versions_stay_within_what_is_borne",),
+        (Edit("rollouts", "TRIAL_FRACTION = 0.04", "TRIAL_FRACTION = 0.5"),),
+        (
+            ROLLOUTS
+            + "TestRandomRollouts.test_bad_versions_stay_within_the_tolerated_exposure",
+        ),
     ),
     Weakness(
         "a returning leader adds old work",
@@ -487,7 +511,7 @@
         ),
         (
             "tests.test_prompt_caches.TestPlacements"
-            ".test_what_is_told_again_and_again_ends_all_the_same",
+            ".test_repeated_reports_do_not_extend_a_placement",
         ),
     ),
     Weakness(
@@ -495,28 +519,29 @@
         (
             Edit(
                 "prompt_caches",
-                "while size > memory_tokens * KEPT_PART and len(kept) > 1:",
+                "while size > memory_tokens * SHARED_FRACTION and len(cached) > 1:",
                 "while False:",
             ),
         ),
         (
             "tests.test_prompt_caches.TestPromptCaches"
-            ".test_what_was_used_longest_ago_is_forgotten_first",
+            ".test_the_least_recently_used_parts_are_dropped_first",
         ),
     ),
     Weakness(
         "old figures are taken as they stand",
-        (Edit("balancing", "OTHERS_WEIGHT = 0.25", "OTHERS_WEIGHT = 1.0"),),
+        (Edit("balancing", "PEER_PREFILL_WEIGHT = 0.25", "PEER_PREFILL_WEIGHT = 1.0"),),
         (
             "tests.test_old_loads.TestOldLoads"
-            ".test_figures_that_are_old_draw_nobody_to_the_same_engine",
+            ".test_outdated_loads_do_not_send_all_gateways_to_one_engine",
         ),
     ),
     Weakness(
         "work that isn't known yet is taken for none",
         (Edit("sizing", "if not self.meter.is_settled(now):", "if False:"),),
         (
-            "tests.test_sizing.TestStart.test_a_part_of_the_bound_is_ordered_before_the_work_is_known",
+            "tests.test_sizing.TestStart"
+            ".test_a_fraction_of_the_maximum_is_ordered_before_the_work_is_known",
         ),
     ),
     Weakness(
@@ -546,7 +571,7 @@
         "others are ordered only once too few are left",
         (Edit("sizing", "if now < self._scarce_until:", "if False:"),),
         (
-            SIZING + "a_second_notice_buys_what_suffices_alone",
+            SIZING + "a_second_notice_orders_enough_on_demand_instances",
             SIZING + "a_refused_order_counts_as_scarcity",
         ),
     ),
