--- a/src/chervilwing/budgets.py
+++ b/src/chervilwing/budgets.py
@@ -1,59 +1,60 @@
-"""Retry budgets: what bounds the number of attempts per request."""
+"""Retry budgets, which bound the number of attempts per request."""
 
-# Each first attempt earns a twentieth of a retry, so that in saturation attempts
-# stay below 1.05 a request (RFC 5390: unbounded retries made 18 requests of one).
-EARNED = 0.05
-# Enough for the requests that one lost upstream had in flight, and no more.
-CAPACITY = 10.0
+# Retries that each first attempt earns, so that under saturation attempts stay below
+# 1.05 per request (RFC 5390: unbounded retries made 18 requests of one).
+RETRIES_PER_REQUEST = 0.05
+# Retries that a budget holds at most: enough for the requests in flight on one lost
+# upstream.
+MAX_RETRIES = 10.0
 
 
 class Budget:
-    """A bucket of retries that first attempts fill.
+    """A token bucket of retries, filled by first attempts.
 
-    Load: a pool that fails or refuses widely. Harm prevented: retries that add to
-    the load which made them, until no first attempt gets through.
+    When a pool fails or refuses widely, unbounded retries would add to the load that
+    caused them, until no first attempt succeeds.
     """
 
     def __init__(self):
-        self.tokens = CAPACITY
+        self.tokens = MAX_RETRIES
 
     def earn(self):
-        """Take note of one first attempt."""
-        self.tokens = min(CAPACITY, self.tokens + EARNED)
+        """Credit one first attempt."""
+        self.tokens = min(MAX_RETRIES, self.tokens + RETRIES_PER_REQUEST)
 
-    def has_one(self):
-        """Tell whether a retry may be spent."""
+    def has_retry(self):
+        """Return whether a retry is available."""
         return self.tokens >= 1.0
 
     def spend(self):
-        """Use up one retry."""
+        """Use one retry."""
         self.tokens -= 1.0
 
 
 class Budgets:
-    """The budgets of all customers and pools."""
+    """The retry budgets of all customers and pools."""
 
     def __init__(self):
         self._budgets = {}
 
     def find(self, key):
-        """Return the budget of one customer or pool."""
+        """Return the budget of one customer or pool; create it if needed."""
         return self._budgets.setdefault(key, Budget())
 
     def earn(self, work):
         """Credit the customer and the pool with one first attempt."""
-        for budget in self._of(work):
+        for budget in self._find_both(work):
             budget.earn()
 
     def spend(self, work):
-        """Use up a retry of both, or return False and use up neither."""
-        budgets = self._of(work)
-        if not all(budget.has_one() for budget in budgets):
+        """Use one retry of both budgets, or return False and use neither."""
+        budgets = self._find_both(work)
+        if not all(budget.has_retry() for budget in budgets):
             return False
         for budget in budgets:
             budget.spend()
         return True
 
-    def _of(self, work):
+    def _find_both(self, work):
         customer = self.find(("customer", work.customer))
         return customer, self.find(("pool", work.pool))
--- a/src/chervilwing/ranking.py
+++ b/src/chervilwing/ranking.py
@@ -1,4 +1,4 @@
-"""Rank instances for a task so that all who know the same members agree."""
+"""Rank instances for a task, with the same result on every instance."""
 
 import hashlib
 
@@ -6,8 +6,8 @@
 def rank(task, members):
     """Return the members by descending rendezvous weight for the task.
 
-    Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
-    1998: a member that leaves moves only the tasks it had.
+    When a member leaves, only its own tasks move (Thaler and Ravishankar, "Using
+    name-based mappings to increase hit rates", 1998).
     """
     return sorted(members, key=lambda name: _weight(task, name), reverse=True)
 
