--- a/src/chervilwing/fleets.py
+++ b/src/chervilwing/fleets.py
@@ -1,90 +1,102 @@
-"""What the operators' rules let a fleet buy and return, by the planner."""
+"""Apply the operators' rules of a fleet to the planner's purchases and returns."""
 
 from math import exp
 from typing import NamedTuple
 
-from .planner import Need, Offer, Owned, Plan, Refusals, plan, rate_offer
+from .planner import Need, Offer, Owned, Plan, Refusals, get_effective_price, plan
 
-# Load: a peak of every hour. Harm: instances given back and bought again each time,
-# with models to load. What is needed falls by a factor e in this many seconds.
-NEED_FALL = 600.0
-# Load: prices that move by the hour. Harm: instances changed for a small gain, which
-# the loading of models eats up. Over this ratio a cheaper offer replaces one.
-TOO_DEAR = 1.5
-USUAL_SLOTS = 8
+# Seconds in which the recorded need decays by a factor e. Without it, instances would
+# be returned and bought again at each hourly peak, and each would load its models.
+NEED_DECAY_SECONDS = 600.0
+# Price ratio above which a cheaper offer replaces an instance. Prices change hourly;
+# for a small gain, loading the models would cost more than it saves.
+REPLACE_RATIO = 1.5
+DEFAULT_SLOTS = 8
 
 
 class Machine(NamedTuple):
-    """What was measured of a machine class; 0 seconds when nothing was."""
+    """The slots of a machine class and its first-token time in seconds, or 0."""
 
-    slots: int = USUAL_SLOTS
+    slots: int = DEFAULT_SLOTS
     first_token: float = 0.0
 
 
 class Situation(NamedTuple):
-    """What a plan is made from; ``centres`` gives the data centre of a zone."""
+    """The input of a plan.
+
+    ``needed`` is in slots, ``first_token`` the latency target in seconds;
+    ``data_centres`` gives the data centre of each zone.
+    """
 
     offers: tuple[Offer, ...]
     owned: tuple[Owned, ...]
     needed: float
     machines: dict[str, Machine] = {}
-    centres: dict[str, str] = {}
+    data_centres: dict[str, str] = {}
     first_token: float = float("inf")
 
 
 class FleetPlanner:
-    """The state of one fleet: what was needed of late and what was refused."""
+    """The planner of one fleet, with its recent need and its refused offers."""
 
     def __init__(self, fleet):
         self.fleet = fleet
         self.refusals = Refusals()
         self._needed = 0.0
         self._measured_at = 0.0
-        self._began_at = None
+        self._first_measured_at = None
 
     def measure(self, slots, now):
-        """Take in the slots in use and waited for; return what is needed."""
-        self._began_at = now if self._began_at is None else self._began_at
-        fallen = self._needed * exp((self._measured_at - now) / NEED_FALL)
-        self._needed, self._measured_at = max(slots, fallen), now
+        """Record the slots in use and waited for; return the slots needed."""
+        self._first_measured_at = (
+            now if self._first_measured_at is None else self._first_measured_at
+        )
+        decayed = self._needed * exp((self._measured_at - now) / NEED_DECAY_SECONDS)
+        self._needed, self._measured_at = max(slots, decayed), now
         return self._needed
 
     def plan(self, situation, now):
-        """Return a Plan of one purchase or one return at most.
+        """Return a Plan of at most one purchase or one return.
 
-        An offer that was refused gives way to the next: another zone or class, and in
-        the end on-demand, which costs most.
+        If an offer was refused, the next one is tried: another zone or machine class,
+        and finally on-demand, which costs most.
         """
         prices = {offer.key: offer.price for offer in situation.offers}
         owned = tuple(
             item._replace(price=prices.get(item.key, 0.0)) for item in situation.owned
         )
-        offers = self._list_eligible(situation)
-        bought = sum(not item.kept for item in owned)
-        starts = 1 if bought < self.fleet.max_instances else 0
-        need = self._make_need(situation, starts)
+        offers = self._list_eligible_offers(situation)
+        bought = sum(not item.from_inventory for item in owned)
+        max_starts = 1 if bought < self.fleet.max_instances else 0
+        need = self._make_need(situation, max_starts)
         allowed = [offer for offer in offers if self.refusals.allows(offer, now)]
-        worth = self._leave_out_dear(situation, owned, allowed)
-        buys = plan(need, worth, allowed, self.refusals, now).buys
-        # A holder that is new knows nothing of the last peak, and returns nothing yet.
-        if buys or self._began_at is None or now - self._began_at < NEED_FALL:
+        worth_keeping = self._drop_replaceable(situation, owned, allowed)
+        buys = plan(need, worth_keeping, allowed, self.refusals, now).buys
+        # A new lease holder doesn't know the last peak, so it returns nothing yet.
+        if (
+            buys
+            or self._first_measured_at is None
+            or now - self._first_measured_at < NEED_DECAY_SECONDS
+        ):
             return Plan(buys)
-        return plan(need._replace(starts=0), owned, (), self.refusals, now)
+        return plan(need._replace(max_starts=0), owned, (), self.refusals, now)
 
-    def _make_need(self, situation, starts):
+    def _make_need(self, situation, max_starts):
         fleet = self.fleet
         return Need(
             situation.needed,
-            USUAL_SLOTS,
-            starts,
+            DEFAULT_SLOTS,
+            max_starts,
             zones_lost=1 if fleet.spare else 0,
-            spare=fleet.spare,
-            least=fleet.min_instances,
-            classes={name: item.slots for name, item in situation.machines.items()},
-            sites=situation.centres,
+            spare_part=fleet.spare,
+            min_instances=fleet.min_instances,
+            slots_by_class={
+                name: item.slots for name, item in situation.machines.items()
+            },
+            data_centres=situation.data_centres,
         )
 
-    def _list_eligible(self, situation):
+    def _list_eligible_offers(self, situation):
         fleet = self.fleet
         ceiling = fleet.price_ceiling or float("inf")
         return [
@@ -95,36 +107,41 @@
             and _find_machine(situation, offer).first_token <= situation.first_token
         ]
 
-    def _leave_out_dear(self, situation, owned, offers):
-        """Return what is owned without what a far cheaper offer would replace.
+    def _drop_replaceable(self, situation, owned, offers):
+        """Return the owned instances that no far cheaper offer would replace.
 
-        The surplus that the replacement makes is the dear one.
+        Once the replacement is bought, the expensive instance is surplus and is
+        returned.
         """
         cheapest = {}
         for offer in offers:
-            place, cost = self._find_place(situation, offer), _rate(situation, offer)
-            cheapest[place] = min(cost, cheapest.get(place, cost))
-        dear = {
-            row.key
-            for row in situation.offers
-            if _rate(situation, row)
-            > TOO_DEAR * cheapest.get(self._find_place(situation, row), float("inf"))
+            group, cost = (
+                self._find_price_group(situation, offer),
+                _get_slot_price(situation, offer),
+            )
+            cheapest[group] = min(cost, cheapest.get(group, cost))
+        replaceable = {
+            offer.key
+            for offer in situation.offers
+            if _get_slot_price(situation, offer)
+            > REPLACE_RATIO
+            * cheapest.get(self._find_price_group(situation, offer), float("inf"))
         }
-        return tuple(item for item in owned if item.key not in dear)
+        return tuple(item for item in owned if item.key not in replaceable)
 
-    def _find_place(self, situation, offer):
-        """Return what prices are compared within.
+    def _find_price_group(self, situation, offer):
+        """Return the key of the group within which prices are compared.
 
-        With spare room the sites are all needed: judged by the cheapest one, the
-        others' instances would be replaced for ever.
+        With spare capacity, all data centres are needed. Compared with the cheapest
+        one, the instances of the other data centres would be replaced again and again.
         """
         if not self.fleet.spare:
             return ""
-        return situation.centres.get(offer.zone, offer.zone)
+        return situation.data_centres.get(offer.zone, offer.zone)
 
 
-def _rate(situation, offer):
-    return rate_offer(offer) / _find_machine(situation, offer).slots
+def _get_slot_price(situation, offer):
+    return get_effective_price(offer) / _find_machine(situation, offer).slots
 
 
 def _find_machine(situation, offer):
--- a/src/chervilwing/planner.py
+++ b/src/chervilwing/planner.py
@@ -1,24 +1,27 @@
-"""What instances to buy and to return, by price, reclaim risk and latency target."""
+"""Plan which instances to buy and return, by price, reclaim risk and target."""
 
 from collections import Counter
 from typing import NamedTuple
 
-# Slots are kept this busy at most: above it the measured first token leaves the
-# target (docs/MEASUREMENTS.md, steady at 0.7 against full at 1x).
-BUSY = 0.75
-# What a reclaim costs, in hours of the instance's price: its start, its empty cache
-# and the work that moves.
-RECLAIM_HOURS = 0.25
-# A refused offer isn't asked for again for so long, each time twice as long.
-FIRST_WAIT = 20.0
-LONGEST_WAIT = 600.0
-# Capacity is returned only when it is this much over the need, so that a load that
-# swings round a step doesn't buy and return in turn.
-SURPLUS = 1.25
+# Maximum utilisation of the slots; above it, the first token misses its target (it
+# holds at a load of 0.7 and fails at 1).
+MAX_UTILISATION = 0.75
+# Cost of a reclaim in hours of the instance's price: the start, the empty cache and the
+# work that moves.
+RECLAIM_COST_HOURS = 0.25
+# Backoff of a refused offer in seconds, doubled each time up to the maximum.
+INITIAL_BACKOFF = 20.0
+MAX_BACKOFF = 600.0
+# Capacity is returned only above this multiple of the need, so that a load that varies
+# around a step doesn't cause buying and returning in turn.
+RETURN_SURPLUS = 1.25
 
 
 class Offer(NamedTuple):
-    """One line of the cloud's price list; ``reclaim_rate`` is reclaims an hour."""
+    """One row of the cloud's price list.
+
+    ``price`` is per hour; ``reclaim_rate`` is the number of reclaims per hour.
+    """
 
     zone: str
     machine_class: str
@@ -28,14 +31,14 @@
 
     @property
     def key(self):
-        """What the cloud may refuse as a whole."""
+        """Return the zone, machine class and market: the unit of a refusal."""
         return self.zone, self.machine_class, self.market
 
 
 class Owned(NamedTuple):
-    """An instance that runs or starts; leaving ones don't count.
+    """An instance that is running or starting, but not leaving.
 
-    The inventory's own are ``kept``, and never returned.
+    Instances ``from_inventory`` are never returned.
     """
 
     name: str
@@ -44,72 +47,76 @@
     slots: int
     machine_class: str = ""
     market: str = ""
-    kept: bool = False
+    from_inventory: bool = False
 
     @property
     def key(self):
-        """What the cloud sells it as."""
+        """Return the zone, machine class and market, as in the matching offer."""
         return self.zone, self.machine_class, self.market
 
 
 class Need(NamedTuple):
-    """What a pool has to carry: slots busy at the peak, slots of one instance.
-
-    ``starts`` is how many new instances the weight store can feed in this round.
-    ``spare`` is the part of the load that has to fit into what a loss leaves, ``least``
-    the fewest instances; ``classes`` gives the slots of a machine class where they
-    differ, ``sites`` the data centre of a zone where the loss of that counts.
+    """What a pool has to carry.
+
+    ``busy_slots`` is the number of busy slots at the peak, and ``max_starts`` the
+    number of new instances that the weight store can serve in this round.
+    ``zones_lost`` is the number of largest zones whose loss must be survived,
+    ``spare_part`` the part of the load that must fit into the rest. ``slots_by_class``
+    gives the slots of machine classes that differ from ``slots_per_instance``;
+    ``data_centres`` gives the data centre of a zone if the loss of data centres counts
+    instead.
     """
 
-    busy: float
-    slots: int
-    starts: int
+    busy_slots: float
+    slots_per_instance: int
+    max_starts: int
     zones_lost: int = 1
-    spare: float = 1.0
-    least: int = 0
-    classes: dict[str, int] = {}
-    sites: dict[str, str] = {}
+    spare_part: float = 1.0
+    min_instances: int = 0
+    slots_by_class: dict[str, int] = {}
+    data_centres: dict[str, str] = {}
 
 
 class Plan(NamedTuple):
-    """What to ask the cloud for, and what to drain and return."""
+    """The offers to buy, and the names of instances to drain and return."""
 
     buys: tuple[Offer, ...] = ()
     returns: tuple[str, ...] = ()
 
 
 class Refusals:
-    """Which offers were refused, and until when they aren't asked for again.
+    """The offers that the cloud refused, and when each may be requested again.
 
-    Load: a reclaim wave, in which everyone asks for the same zone. Harm prevented:
-    the same refused request over and over, while another zone would have sold.
+    In a reclaim wave, all users of the cloud request instances in the same zone.
+    Without a backoff, the same refused request would be repeated while another zone has
+    capacity.
     """
 
     def __init__(self):
-        self._waits = {}
+        self._backoffs = {}
 
     def record(self, offer, now):
-        """Take note of a refused start."""
-        _, wait = self._waits.get(offer.key, (0.0, FIRST_WAIT / 2))
-        wait = min(LONGEST_WAIT, wait * 2)
-        self._waits[offer.key] = (now + wait, wait)
+        """Record a refused start and double its backoff."""
+        _, backoff = self._backoffs.get(offer.key, (0.0, INITIAL_BACKOFF / 2))
+        backoff = min(MAX_BACKOFF, backoff * 2)
+        self._backoffs[offer.key] = (now + backoff, backoff)
 
     def forget(self, offer):
-        """Take note of a start that was granted."""
-        self._waits.pop(offer.key, None)
+        """Clear the backoff of an offer after a successful start."""
+        self._backoffs.pop(offer.key, None)
 
     def allows(self, offer, now):
-        """Tell whether the offer may be asked for."""
-        return self._waits.get(offer.key, (0.0, 0.0))[0] <= now
+        """Return whether the offer may be requested now."""
+        return self._backoffs.get(offer.key, (0.0, 0.0))[0] <= now
 
 
-def rate_offer(offer):
-    """Return what an hour of the offer costs with its reclaims counted in."""
-    return offer.price * (1.0 + offer.reclaim_rate * RECLAIM_HOURS)
+def get_effective_price(offer):
+    """Return the hourly price of the offer with the cost of its reclaims."""
+    return offer.price * (1.0 + offer.reclaim_rate * RECLAIM_COST_HOURS)
 
 
-def count_left(slots_by_zone, zones_lost):
-    """Return the slots that are left when the largest zones are lost."""
+def count_remaining(slots_by_zone, zones_lost):
+    """Return the slots that remain after the loss of the largest zones."""
     largest = sorted(slots_by_zone.values(), reverse=True)[:zones_lost]
     return sum(slots_by_zone.values()) - sum(largest)
 
@@ -117,83 +124,101 @@
 def plan(need, owned, offers, refusals, now):
     """Return what to buy or return so that the loss of a zone is survived.
 
-    Buys go one by one to the cheapest offer of those that help most against the
-    loss of the largest zones; no more than the weight store can feed.
+    Offers are bought one by one: of those that add most to the slots left after the
+    loss of the largest zones, the cheapest. At most ``need.max_starts`` are bought.
     """
-    wanted = need.busy / BUSY
+    wanted_slots = need.busy_slots / MAX_UTILISATION
     slots = Counter()
     for instance in owned:
-        slots[_find_site(need, instance)] += instance.slots
+        slots[_find_data_centre(need, instance)] += instance.slots
     allowed = [offer for offer in offers if refusals.allows(offer, now)]
-    buys = _buy(need, wanted, slots, allowed, need.least - len(owned))
+    buys = _plan_buys(
+        need, wanted_slots, slots, allowed, need.min_instances - len(owned)
+    )
     if buys:
         return Plan(buys=buys)
-    return Plan(returns=_return(need, wanted, slots, owned))
+    return Plan(returns=_plan_returns(need, wanted_slots, slots, owned))
 
 
-def _buy(need, wanted, slots, offers, missing):
+def _plan_buys(need, wanted_slots, slots, offers, missing_instances):
     slots = Counter(slots)
-    enough = min(wanted, _find_reachable(need, slots, offers))
+    target = min(wanted_slots, _find_reachable(need, slots, offers))
     buys = []
-    while offers and len(buys) < need.starts:
+    while offers and len(buys) < need.max_starts:
         usable = _count_usable(need, slots)
-        if usable >= enough and slots.total() >= wanted and len(buys) >= missing:
+        if (
+            usable >= target
+            and slots.total() >= wanted_slots
+            and len(buys) >= missing_instances
+        ):
             break
-        best = min(offers, key=lambda offer: _rank(need, slots, offer))
-        slots[_find_site(need, best)] += _count_slots(need, best)
+        best = min(offers, key=lambda offer: _make_sort_key(need, slots, offer))
+        slots[_find_data_centre(need, best)] += _count_slots(need, best)
         buys.append(best)
     return tuple(buys)
 
 
 def _find_reachable(need, slots, offers):
-    """Return the slots that can be left after a loss, however many are bought.
+    """Return the usable slots that can be reached, however many are bought.
 
-    Load: a wave in which all but one zone refuse. Harm prevented: endless buying in
-    that zone, which never makes its own loss bearable.
+    In a reclaim wave, all zones but one may refuse. Buying in that zone never makes its
+    own loss survivable, so without this limit it would go on endlessly.
     """
-    zones = {_find_site(need, offer) for offer in offers}
+    zones = {_find_data_centre(need, offer) for offer in offers}
     if len(zones) > need.zones_lost:
         return float("inf")
-    others = {zone: held for zone, held in slots.items() if zone not in zones}
-    return count_left(others, need.zones_lost - len(zones)) / (need.spare or 1.0)
+    others = {
+        zone: slot_count for zone, slot_count in slots.items() if zone not in zones
+    }
+    return count_remaining(others, need.zones_lost - len(zones)) / (
+        need.spare_part or 1.0
+    )
 
 
-def _rank(need, slots, offer):
-    """Return the order of an offer: by the price of each usable slot that it adds.
+def _make_sort_key(need, slots, offer):
+    """Return the sort key of an offer: its price per usable slot that it adds.
 
-    Two zones of equal size have to grow in turn before a loss leaves more, so the
-    slots that the offer's zone holds already decide between those that add nothing.
+    Two zones of equal size have to grow in turn before the slots left after a loss
+    increase. Offers that add none are therefore ordered by the slots of their zone as
+    well.
     """
-    site, size = _find_site(need, offer), _count_slots(need, offer)
-    after = slots + Counter({site: size})
-    gain = _count_usable(need, after) - _count_usable(need, slots)
+    data_centre, size = _find_data_centre(need, offer), _count_slots(need, offer)
+    slots_after = slots + Counter({data_centre: size})
+    gain = _count_usable(need, slots_after) - _count_usable(need, slots)
     if gain > 0:
-        return False, rate_offer(offer) / gain, offer.key
-    return True, rate_offer(offer) / size + 1e-6 * slots[site], offer.key
+        return False, get_effective_price(offer) / gain, offer.key
+    return (
+        True,
+        get_effective_price(offer) / size + 1e-6 * slots[data_centre],
+        offer.key,
+    )
 
 
 def _count_usable(need, slots):
-    """Return the slots that may be in use so that the spare part of them is left."""
-    if not need.spare:
+    """Return how many slots may be in use so that a loss leaves the spare part."""
+    if not need.spare_part:
         return slots.total()
-    return min(slots.total(), count_left(slots, need.zones_lost) / need.spare)
+    return min(slots.total(), count_remaining(slots, need.zones_lost) / need.spare_part)
 
 
-def _find_site(need, item):
-    return need.sites.get(item.zone, item.zone)
+def _find_data_centre(need, item):
+    return need.data_centres.get(item.zone, item.zone)
 
 
 def _count_slots(need, offer):
-    return need.classes.get(offer.machine_class, need.slots)
+    return need.slots_by_class.get(offer.machine_class, need.slots_per_instance)
 
 
-def _return(need, wanted, slots, owned):
-    """Return the dearest instance whose loss leaves more than enough, if any."""
-    if len(owned) <= need.least:
+def _plan_returns(need, wanted_slots, slots, owned):
+    """Return the most expensive instance that isn't needed, as a tuple, or ()."""
+    if len(owned) <= need.min_instances:
         return ()
     for instance in sorted(owned, key=lambda item: (-item.price, item.name)):
-        rest = Counter(slots)
-        rest[_find_site(need, instance)] -= instance.slots
-        if not instance.kept and _count_usable(need, rest) >= wanted * SURPLUS:
+        remaining = Counter(slots)
+        remaining[_find_data_centre(need, instance)] -= instance.slots
+        if (
+            not instance.from_inventory
+            and _count_usable(need, remaining) >= wanted_slots * RETURN_SURPLUS
+        ):
             return (instance.name,)
     return ()
--- a/src/chervilwing/purchases.py
+++ b/src/chervilwing/purchases.py
@@ -1,8 +1,9 @@
-"""The record of a fleet's purchases, written before each is made.
+"""The record of a fleet's purchases, written before each purchase is made.
 
-Guard: an answer to a buy is lost, or its sender is frozen and another takes over.
-Either would buy twice; the record holds the request's id, under which the cloud sells
-once, so whoever holds the fleet asks again under the same id.
+The answer to a purchase may be lost, or the lease holder that sent it may freeze and be
+replaced. Either could buy twice. The record therefore holds the request id, for which
+the cloud sells only one instance: any holder of the fleet repeats the request with the
+same id.
 """
 
 import json
@@ -13,12 +14,15 @@
 ASKED = "asked"
 BOUGHT = "bought"
 LEAVING = "leaving"
-# Seconds within which a bought instance must be on the instance list.
-LISTED_WITHIN = 600.0
+# Seconds within which a purchased instance must be on the instance list.
+LISTING_TIMEOUT = 600.0
 
 
 class Purchase(NamedTuple):
-    """One instance; ``at`` in Unix seconds is when its state began, or will end."""
+    """One purchased or requested instance.
+
+    ``at`` is in Unix seconds: when ``state`` began, or when the instance will end.
+    """
 
     request: str
     zone: str
@@ -30,28 +34,36 @@
 
 
 def make_purchase(request, offer, now):
-    """Return the row of a buy that is about to be made."""
+    """Return the record of a purchase that is about to be requested."""
     return Purchase(request, *offer[:3], ASKED, "", now)
 
 
-def encode_purchases(rows):
-    """Return the rows as the stored text."""
-    return json.dumps([list(row) for row in rows])
+def encode_purchases(purchases):
+    """Return the purchases as JSON text for the store."""
+    return json.dumps([list(purchase) for purchase in purchases])
 
 
 def decode_purchases(text):
-    """Return the rows of a stored text; ValueError or TypeError if it's no such."""
-    return tuple(Purchase(*row) for row in json.loads(text))
+    """Return the stored purchases; raise ValueError or TypeError if invalid."""
+    return tuple(Purchase(*purchase) for purchase in json.loads(text))
+
 
+def get_offer(purchase):
+    """Return the offer of a purchase, without its price at the time."""
+    return Offer(purchase.zone, purchase.machine_class, purchase.market, 0.0)
 
-def get_offer(row):
-    """Return the offer that a purchase took, without its price of then."""
-    return Offer(row.zone, row.machine_class, row.market, 0.0)
 
+def list_owned(purchases, upstreams, available, machines, default):
+    """Return the owned instances: live upstreams, and purchases not listed yet.
 
-def list_owned(rows, upstreams, known, machines, usual):
-    """Return what counts as owned: live upstreams, and buys that aren't known yet."""
-    markets = {row.instance: row.market for row in rows if row.instance}
+    ``available`` are the names of listed instances that aren't leaving. ``machines``
+    gives the Machine of a machine class, ``default`` that of other classes.
+    """
+    markets = {
+        purchase.instance: purchase.market
+        for purchase in purchases
+        if purchase.instance
+    }
     owned = [
         Owned(
             item.name,
@@ -60,30 +72,34 @@
             item.slots,
             item.machine_class,
             markets.get(item.name, ""),
-            kept=item.name not in markets,
+            from_inventory=item.name not in markets,
         )
         for item in upstreams
     ]
     owned += [
         Owned(
-            row.instance or row.request,
-            row.zone,
+            purchase.instance or purchase.request,
+            purchase.zone,
             0.0,
-            machines.get(row.machine_class, usual).slots,
-            row.machine_class,
-            row.market,
+            machines.get(purchase.machine_class, default).slots,
+            purchase.machine_class,
+            purchase.market,
         )
-        for row in rows
-        if row.state != LEAVING and row.instance not in known
+        for purchase in purchases
+        if purchase.state != LEAVING and purchase.instance not in available
     ]
     return tuple(owned)
 
 
-def find_lost(rows, known, seen, now):
-    """Return a bought row whose instance has gone or never came, or None."""
-    for row in rows:
-        if row.state != BOUGHT or row.instance in known:
+def find_lost(purchases, available, listed_before, now):
+    """Return a purchase whose instance is gone or was never listed, or None.
+
+    ``available`` are the names of listed instances that aren't leaving,
+    ``listed_before`` those of instances that were ever listed.
+    """
+    for purchase in purchases:
+        if purchase.state != BOUGHT or purchase.instance in available:
             continue
-        if row.instance in seen or now - row.at > LISTED_WITHIN:
-            return row
+        if purchase.instance in listed_before or now - purchase.at > LISTING_TIMEOUT:
+            return purchase
     return None
--- a/tests/test_buyer.py
+++ b/tests/test_buyer.py
@@ -1,4 +1,4 @@
-"""Tests of buying on processes: the cloud's own record tells what was bought."""
+"""Tests of purchases with real processes, checked against the cloud's own record."""
 
 import unittest
 
@@ -15,11 +15,13 @@
         start = self.deployment.processes.start_fake
         self.engines = [start("engine") for _ in range(5)]
 
-    def put_fleet(self, least):
-        """Put a fleet of at least so many engines in force; one is the inventory's."""
+    def put_fleet(self, min_instances):
+        """Apply a fleet of at least ``min_instances``, one from the inventory."""
         upstreams = Upstreams(tuple(self.engines[:1]), ())
         configuration = make_configuration(upstreams)
-        fleet = Fleet("f", "engines", min_instances=least, max_instances=9, spare=0.0)
+        fleet = Fleet(
+            "f", "engines", min_instances=min_instances, max_instances=9, spare=0.0
+        )
         rules = configuration.rules._replace(fleets=(fleet,))
         self.deployment.put_configuration(configuration._replace(rules=rules))
         self.deployment.list_instances(configuration)
@@ -27,21 +29,21 @@
         self.assertEqual(self.cloud.post("/-/market", {"spares": spares})[0], 200)
 
     def list_live(self, entry):
-        """Return the upstreams that an instance sends to."""
+        """Return the names of the upstreams that an instance sends to."""
         rows = entry.get("/-/status")[1]["upstreams"]
         return {row["name"] for row in rows if row["state"] == "live"}
 
     def find_holder(self, entries):
-        """Return the instance that buys."""
+        """Return the instance that holds the lease to buy, or None."""
         for entry in entries:
             if entry.get("/-/status")[1]["purchases"].get("engines") == "holding":
                 return entry
         return None
 
     def test_lost_answer_refused_zone_and_frozen_holder_buy_no_instance_twice(self):
-        # The cheapest zone has no capacity and the answer to the first buy is lost.
-        # Then the holder is frozen while an engine is reclaimed, and goes on unaware
-        # after another has bought the replacement.
+        # The cheapest zone has no capacity, and the answer to the first purchase is
+        # lost. Then the lease holder is frozen while an engine is reclaimed; it resumes
+        # unaware that another instance has bought the replacement.
         self.cloud.fault(refused_zones=["a"], lose_answers=1)
         self.put_fleet(3)
         entries = [self.deployment.start_entry(name) for name in ("one", "two")]
--- a/tests/test_fleets.py
+++ b/tests/test_fleets.py
@@ -1,11 +1,17 @@
-"""Tests of what a fleet's rules let it buy and give back, without a cloud."""
+"""Tests of the purchases and returns that a fleet's rules allow, without a cloud."""
 
 import unittest
 
-from chervilwing.fleets import NEED_FALL, FleetPlanner, Machine, Situation
+from chervilwing.fleets import NEED_DECAY_SECONDS, FleetPlanner, Machine, Situation
 from chervilwing.models import Fleet
-from chervilwing.planner import FIRST_WAIT, Offer, Owned
-from chervilwing.purchases import BOUGHT, LISTED_WITHIN, Purchase, find_lost, list_owned
+from chervilwing.planner import INITIAL_BACKOFF, Offer, Owned
+from chervilwing.purchases import (
+    BOUGHT,
+    LISTING_TIMEOUT,
+    Purchase,
+    find_lost,
+    list_owned,
+)
 
 FLEET = Fleet("f", "pool", ("standard", "large"), max_instances=20)
 OFFERS = tuple(
@@ -18,21 +24,21 @@
 
 
 def make_situation(needed, *owned, offers=OFFERS, **fields):
-    """Return a situation whose instances are given as zone and market."""
+    """Return a situation; each instance is given as zone and market."""
     rows = tuple(
-        Owned(f"i{n}", zone, 0.0, 8, "standard", market, kept=not market)
+        Owned(f"i{n}", zone, 0.0, 8, "standard", market, from_inventory=not market)
         for n, (zone, market) in enumerate(owned)
     )
     return Situation(offers, rows, needed, MACHINES, **fields)
 
 
 def choose_offer(planner, situation, now):
-    """Return the offer that is bought now, or None."""
+    """Return the offer to buy now, or None."""
     return next(iter(planner.plan(situation, now).buys), None)
 
 
 def buy_all(planner, situation, now=0.0, refused=()):
-    """Buy until nothing lacks; return zone, class and market of each purchase."""
+    """Buy until nothing is needed; return zone, class and market of each purchase."""
     bought = []
     for _ in range(50):
         offer = choose_offer(planner, situation, now)
@@ -60,10 +66,10 @@
                 slots[zone] += MACHINES[kind].slots
             self.assertGreaterEqual(sum(slots.values()) - max(slots.values()), needed)
         one_site = {"a": "site", "b": "site", "c": "other"}
-        bought = buy_all(self.planner, make_situation(8.0, centres=one_site))
+        bought = buy_all(self.planner, make_situation(8.0, data_centres=one_site))
         self.assertEqual({one_site[zone] for zone, *_ in bought}, {"site", "other"})
 
-    def test_without_spare_room_the_cheapest_offer_is_taken(self):
+    def test_without_spare_capacity_the_cheapest_offer_is_bought(self):
         planner = FleetPlanner(FLEET._replace(spare=0.0))
         bought = buy_all(planner, make_situation(20.0))
         self.assertEqual(set(bought), {("a", "standard", "reclaimable")})
@@ -72,23 +78,23 @@
         offer = choose_offer(FleetPlanner(FLEET._replace(spare=0.0)), situation, 0.0)
         self.assertEqual(offer.machine_class, "large")
 
-    def test_refused_starts_go_elsewhere_then_on_demand_then_wait(self):
-        # A reclaim wave: no reclaimable instance starts in any zone. Asked again at
-        # once, the cloud would be called without end and nothing would start.
+    def test_refused_starts_use_other_offers_then_on_demand_then_back_off(self):
+        # In a reclaim wave, no reclaimable instance starts in any zone. Without a
+        # backoff, the cloud would be called endlessly and nothing would start.
         bought = buy_all(self.planner, make_situation(8.0), refused=("reclaimable",))
         self.assertEqual({market for *_, market in bought}, {"on_demand"})
         every = ("reclaimable", "on_demand")
         self.assertEqual(buy_all(self.planner, make_situation(8.0), 1.0, every), [])
-        first = FIRST_WAIT
-        self.assertIsNone(choose_offer(self.planner, make_situation(8.0), first - 0.1))
-        offer = choose_offer(self.planner, make_situation(8.0), first)
-        self.planner.refusals.record(offer, first)
+        due = INITIAL_BACKOFF
+        self.assertIsNone(choose_offer(self.planner, make_situation(8.0), due - 0.1))
+        offer = choose_offer(self.planner, make_situation(8.0), due)
+        self.planner.refusals.record(offer, due)
         self.assertNotEqual(
-            choose_offer(self.planner, make_situation(8.0), first + FIRST_WAIT)[:3],
+            choose_offer(self.planner, make_situation(8.0), due + INITIAL_BACKOFF)[:3],
             offer[:3],
         )
 
-    def test_operators_rules_bound_what_is_bought(self):
+    def test_operators_rules_limit_the_purchases(self):
         few = FleetPlanner(FLEET._replace(max_instances=2))
         self.assertEqual(len(buy_all(few, make_situation(500.0))), 2)
         cheap = FleetPlanner(FLEET._replace(price_ceiling=0.31))
@@ -100,9 +106,9 @@
         self.assertEqual(len(buy_all(least, make_situation(0.0))), 3)
         self.assertEqual(buy_all(FleetPlanner(FLEET), make_situation(0.0)), [])
 
-    def test_dear_instance_is_replaced_and_then_given_back(self):
-        # A zone's price rises to three times that of the others. What was bought there
-        # would be paid for until its next reclaim.
+    def test_expensive_instance_is_replaced_and_then_returned(self):
+        # The price of a zone rises to three times that of the others. Without a
+        # replacement, its instances would be paid for until their next reclaim.
         planner = FleetPlanner(FLEET._replace(spare=0.0, machine_classes=("standard",)))
         owned = [("a", "reclaimable"), ("b", "reclaimable")]
         rise = tuple(
@@ -117,23 +123,23 @@
         self.assertEqual(bought, [("b", "standard", "reclaimable")])
         whole = make_situation(9.0, *owned, ("b", "reclaimable"), offers=rise)
         planner.measure(9.0, 0.0)
-        self.assertEqual(planner.plan(whole, NEED_FALL - 1).returns, ())
-        self.assertEqual(planner.plan(whole, NEED_FALL).returns, ("i0",))
+        self.assertEqual(planner.plan(whole, NEED_DECAY_SECONDS - 1).returns, ())
+        self.assertEqual(planner.plan(whole, NEED_DECAY_SECONDS).returns, ("i0",))
 
-    def test_peak_is_remembered_and_inventory_is_never_given_back(self):
+    def test_peak_is_remembered_and_inventory_is_never_returned(self):
         self.assertEqual(self.planner.measure(40.0, 0.0), 40.0)
-        self.assertGreater(self.planner.measure(0.0, NEED_FALL / 2), 20.0)
+        self.assertGreater(self.planner.measure(0.0, NEED_DECAY_SECONDS / 2), 20.0)
         idle = make_situation(0.0, ("a", ""), ("b", ""))
-        self.assertEqual(self.planner.plan(idle, 9 * NEED_FALL).returns, ())
+        self.assertEqual(self.planner.plan(idle, 9 * NEED_DECAY_SECONDS).returns, ())
 
 
 class TestPurchases(unittest.TestCase):
-    def test_what_is_under_way_counts_once_and_what_is_lost_shows(self):
+    def test_pending_purchase_is_owned_once_and_lost_one_is_found(self):
         row = Purchase("r", "a", "large", "on_demand", BOUGHT, "i-1", 100.0)
         owned = list_owned((row,), (), set(), MACHINES, Machine())
         self.assertEqual(owned, (Owned("i-1", "a", 0.0, 16, "large", "on_demand"),))
         self.assertEqual(list_owned((row,), (), {"i-1"}, MACHINES, Machine()), ())
         self.assertIsNone(find_lost((row,), {"i-1"}, {"i-1"}, 1e9))
-        self.assertIsNone(find_lost((row,), set(), set(), 100.0 + LISTED_WITHIN))
-        self.assertEqual(find_lost((row,), set(), set(), 101.0 + LISTED_WITHIN), row)
+        self.assertIsNone(find_lost((row,), set(), set(), 100.0 + LISTING_TIMEOUT))
+        self.assertEqual(find_lost((row,), set(), set(), 101.0 + LISTING_TIMEOUT), row)
         self.assertEqual(find_lost((row,), set(), {"i-1"}, 101.0), row)
