--- a/src/chervilwing/admission.py
+++ b/src/chervilwing/admission.py
@@ -1,93 +1,97 @@
-"""The decision at the door: let work in, or refuse it with cause and scope."""
+"""Admission control: admit work, or refuse it with a cause and a scope."""
 
 from math import sqrt
 from typing import NamedTuple
 
 from .exceptions import CustomerLimit, NoUpstream, PoolFull, Scope
 
-# Predictions err by about a quarter in the measured loads; a request let in at
-# the very edge would be given up on after it had waited.
-MARGIN = 1.25
-# A queue that stays over the latency target this long is a standing queue, which
-# only adds delay (RFC 8289 makes the same difference); a shorter one is a burst.
-STANDING = 0.25
-# Only this long without one makes the next one a new burst: refusals empty the
-# queue for a moment, and letting all in again then would fill it up every time.
-QUIET = 10.0
-# A wait for one request to end spreads like an exponential, a wait for many is close
-# to its mean; this many deviations are over nine in ten.
-DEVIATIONS = 1.5
-SHORTEST_RETRY = 0.5
-LONGEST_RETRY = 60.0
-
-
-class Prospect(NamedTuple):
-    """What new work would meet: seconds of waiting, to first token, to the end.
-
-    ``ends`` is how many requests have to end before it starts.
+# Predictions err by about a quarter. Work admitted without this margin would often wait
+# and then miss its deadline.
+WAIT_MARGIN = 1.25
+# Seconds over the latency target after which a queue counts as standing, which only
+# adds delay (RFC 8289 makes the same distinction). A shorter excess is a burst.
+STANDING_SECONDS = 0.25
+# Seconds below the target after which the next excess is a new burst. Refusals empty
+# the queue briefly; admitting all work again then would refill it each time.
+QUIET_SECONDS = 10.0
+# The wait for one completion is about exponentially distributed; the wait for many is
+# close to its mean. More than nine in ten waits are below the mean plus this many
+# standard deviations.
+WAIT_DEVIATIONS = 1.5
+# Bounds of the Retry-After time, in seconds.
+MIN_RETRY_AFTER = 0.5
+MAX_RETRY_AFTER = 60.0
+
+
+class Prediction(NamedTuple):
+    """The predicted times of new work, in seconds.
+
+    ``wait`` lasts until it starts, ``first_token`` from the start to the first token,
+    and ``service_time`` from the start to the end. ``completions_ahead`` is the number
+    of requests that have to complete before it starts.
     """
 
     wait: float
-    ends: float
+    completions_ahead: float
     first_token: float
-    service: float
+    service_time: float
 
 
 class Congestion:
-    """When each band of work first and last met more than its latency target."""
+    """Track when each band first and last exceeded its latency target."""
 
     def __init__(self):
-        self._spells = {}
+        self._periods = {}
 
-    def is_standing(self, key, over, now):
-        """Take note whether work is over its target; tell if that has lasted."""
-        if not over:
+    def is_standing(self, band, over_target, now):
+        """Record whether work exceeds its target; return whether that has persisted."""
+        if not over_target:
             return False
-        first, last = self._spells.get(key, (now, now))
-        if now - last > QUIET:
+        first, last = self._periods.get(band, (now, now))
+        if now - last > QUIET_SECONDS:
             first = now
-        self._spells[key] = (first, now)
-        return now - first >= STANDING
+        self._periods[band] = (first, now)
+        return now - first >= STANDING_SECONDS
 
 
-def grade_retry(seconds, excess, rng):
-    """Return when to come back, in seconds.
+def compute_retry_after(seconds, excess, rng):
+    """Return the Retry-After time in seconds.
 
-    It grows with how far the offered load is over what is admitted, and is spread
-    over one to three halves of that. RFC 5390 REQ 7: with one constant for all,
-    everyone leaves and comes back together.
+    It grows with ``excess``, the ratio of offered to admitted load, and is randomised
+    from half to three halves of that. With one constant, all callers would leave and
+    return together (RFC 5390, REQ 7).
     """
-    graded = max(SHORTEST_RETRY, seconds) * excess * rng.uniform(0.5, 1.5)
-    return round(min(LONGEST_RETRY, max(SHORTEST_RETRY, graded)), 2)
+    randomised = max(MIN_RETRY_AFTER, seconds) * excess * rng.uniform(0.5, 1.5)
+    return round(min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, randomised)), 2)
 
 
 def refuse_no_upstream(pool, retry_after):
-    """Return the failure for a pool with nothing to send to."""
+    """Return the error for a pool without an available upstream."""
     detail = f"no upstream of pool {pool} takes new work"
     return NoUpstream(detail, scope=Scope("pool", pool), retry_after=retry_after)
 
 
 def refuse_customer(customer, retry_after):
-    """Return the failure for a customer whose own queue is full."""
+    """Return the error for a customer whose queue is full."""
     detail = f"the queue of customer {customer} is full"
     scope = Scope("customer", customer)
     return CustomerLimit(detail, scope=scope, retry_after=retry_after)
 
 
 def refuse_pool(pool, retry_after):
-    """Return the failure for work that the pool can't do in time."""
+    """Return the error for work that the pool can't complete in time."""
     detail = f"pool {pool} can't meet the deadline"
     return PoolFull(detail, scope=Scope("pool", pool), retry_after=retry_after)
 
 
-def is_too_late(prospect, work, now):
-    """Tell whether the whole answer would come after the deadline."""
-    wait = prospect.wait * MARGIN
-    return now + wait + prospect.service > work.deadline
+def misses_deadline(prediction, work, now):
+    """Return whether the answer would be complete only after the deadline."""
+    wait = prediction.wait * WAIT_MARGIN
+    return now + wait + prediction.service_time > work.deadline
 
 
-def is_over_target(prospect, first_token):
-    """Tell whether the first token would come later than the class is promised."""
-    ends = max(1.0, prospect.ends)
-    wait = prospect.wait * (1.0 + DEVIATIONS / sqrt(ends))
-    return wait + prospect.first_token > first_token
+def misses_target(prediction, first_token):
+    """Return whether the first token would miss the latency target of the class."""
+    completions_ahead = max(1.0, prediction.completions_ahead)
+    wait = prediction.wait * (1.0 + WAIT_DEVIATIONS / sqrt(completions_ahead))
+    return wait + prediction.first_token > first_token
--- a/src/chervilwing/limits.py
+++ b/src/chervilwing/limits.py
@@ -2,62 +2,66 @@
 
 from .costs import blend
 
-# An upstream is slow when a unit of work takes this many times the pool's best:
-# a full batch costs up to twice the time of a half-full one, so less is noise.
+# An upstream is slow if a unit of cost takes this multiple of the pool's fastest. A
+# full batch takes up to twice as long as a half-full one, so smaller differences are
+# noise.
 SLOW_RATIO = 2.0
-# Slow by one sample costs a tenth; ten slow answers in a row leave a third.
-DECREASE = 0.9
-# One request must stay possible, or a recovered upstream would never be noticed.
-FLOOR = 1.0
-# The pool's reference follows quick samples fast and slow ones slowly, so one
-# slow upstream can't make slowness look normal.
+# Factor of the limit after a slow answer; ten in a row leave a third of it.
+SLOW_FACTOR = 0.9
+# At least one request must remain possible, or a recovery would go unnoticed.
+MIN_LIMIT = 1.0
+# Weights of a new sample below and above the pool's best pace, respectively. Slow
+# samples count for less, so that one slow upstream can't make slowness look normal.
 FALL_WEIGHT = 0.1
 RISE_WEIGHT = 0.01
 
 
-class Reference:
-    """The time that one unit of cost takes on a healthy upstream of a pool."""
+class Pace:
+    """The pace of a pool: seconds per unit of cost on a healthy upstream.
 
-    def __init__(self, first):
-        self.seconds = first
-        self.mean = first
+    ``best`` follows the fastest answers, ``mean`` all of them.
+    """
+
+    def __init__(self, initial):
+        self.best = initial
+        self.mean = initial
         self.measured = False
 
     def estimate(self, cost):
-        """Return the least seconds that the cost takes, 0 before any sample."""
-        return cost * self.seconds if self.measured else 0.0
+        """Return the minimum seconds for the cost, or 0 before the first sample."""
+        return cost * self.best if self.measured else 0.0
 
-    def record(self, seconds):
-        """Take in one sample, in seconds a unit of cost."""
+    def record(self, pace):
+        """Record one sample, in seconds per unit of cost."""
         if not self.measured:
-            self.seconds = self.mean = seconds
+            self.best = self.mean = pace
             self.measured = True
             return
-        weight = FALL_WEIGHT if seconds < self.seconds else RISE_WEIGHT
-        self.seconds = blend(self.seconds, seconds, weight)
-        self.mean = blend(self.mean, seconds)
+        weight = FALL_WEIGHT if pace < self.best else RISE_WEIGHT
+        self.best = blend(self.best, pace, weight)
+        self.mean = blend(self.mean, pace)
 
 
 class Limit:
-    """How many requests one entry instance may have at one upstream.
+    """The concurrency limit of one entry instance for one upstream.
 
-    Load: one upstream slows down (a hot neighbour, a failing disk) and still
-    answers its health check. Harm prevented: equal shares would hold a growing
-    part of all callers there until someone declares it sick.
+    A slow upstream (a noisy neighbour, a failing disk) may still pass its health check.
+    With equal shares, a growing part of all requests would wait there until the
+    upstream is marked unhealthy.
     """
 
     def __init__(self, slots):
         self.value = float(slots)
         self.pace = None
 
-    def record(self, seconds, reference, slots):
-        """Move the limit after one answer of ``seconds`` a unit of cost."""
-        self.pace = seconds if self.pace is None else blend(self.pace, seconds, 0.2)
-        if seconds > SLOW_RATIO * reference:
-            self.value = max(FLOOR, self.value * DECREASE)
+    def record(self, pace, best_pace, slots):
+        """Adjust the limit after an answer; ``pace`` is in seconds per unit of cost."""
+        self.pace = pace if self.pace is None else blend(self.pace, pace, 0.2)
+        if pace > SLOW_RATIO * best_pace:
+            self.value = max(MIN_LIMIT, self.value * SLOW_FACTOR)
             return
         self.value = min(float(slots), self.value + 1.0 / self.value)
 
     def fail(self):
-        """Halve the limit after an attempt that broke off."""
-        self.value = max(FLOOR, self.value / 2)
+        """Halve the limit after an attempt that failed."""
+        self.value = max(MIN_LIMIT, self.value / 2)
--- a/src/chervilwing/placement.py
+++ b/src/chervilwing/placement.py
@@ -1,36 +1,37 @@
-"""The choice of an upstream: cached prefix against load, near against far."""
+"""Choose an upstream for each request, by cached prefix, load and data centre."""
 
 from collections import OrderedDict, defaultdict
 
 from .bounds import keep_latest
 from .hashing import Ring
-from .limits import Reference
+from .limits import Pace
 from .upstreams import UpstreamState
 
-# Upstreams that may hold a prefix: two let a hot prefix spread, more would thin
-# the caches out.
-OWNERS = 2
-# An owner may be this much fuller than the pool's mean before work goes past it
+# Upstreams per prefix: with two, a hot prefix spreads; with more, each cache would hold
+# fewer prefixes.
+PREFIX_OWNERS = 2
+# Ratio of an owner's load to the pool's mean above which work goes elsewhere
 # (bounded-load consistent hashing, Mirrokni et al. 2016, with c = 1.25).
-BOUND = 1.25
-# How much of the prompt a ring owner is taken to have cached, when nobody told.
-OWNER_GUESS = 0.5
-# Below this many prompt tokens a cached prefix saves less than another data
+LOAD_BOUND = 1.25
+# Part of the prompt that a ring owner is assumed to have cached if no hint says so.
+ASSUMED_CACHED_PART = 0.5
+# Below this many prompt tokens, a cached prefix saves less than sending to another data
 # centre costs.
-AFFINITY_TOKENS = 128
-# Prefixes whose holders are remembered, the least recently used dropped first.
-REMEMBERED = 4096
-# A sequence slows its batch by about this part of its speed when alone.
-BATCH_PART = 0.15
-# Random picks before a full pool is taken as full.
-TRIES = 4
-# Random picks among the holders of a model that not every engine has: more, since
-# those with room and those near can't be drawn apart.
-HOLDER_TRIES = 8
-
-
-class Members:
-    """A set that gives random members in constant time."""
+MIN_AFFINITY_TOKENS = 128
+# Prefixes with cache hints; the least recently used are dropped first.
+MAX_HINTS = 4096
+# Each further sequence in a batch adds about this part of the time that a sequence
+# takes alone.
+BATCH_SLOWDOWN = 0.15
+# Random picks before the pool is treated as full.
+RANDOM_PICKS = 4
+# Random picks among the upstreams that serve a model if not all do. More than
+# RANDOM_PICKS, because the sets by model also hold full and distant upstreams.
+MODEL_PICKS = 8
+
+
+class RandomSet:
+    """A set from which random members are drawn in constant time."""
 
     def __init__(self):
         self._names = []
@@ -43,13 +44,13 @@
         return name in self._index
 
     def add(self, name):
-        """Put a name in."""
+        """Add a name."""
         if name not in self._index:
             self._index[name] = len(self._names)
             self._names.append(name)
 
     def discard(self, name):
-        """Take a name out."""
+        """Remove a name if it is present."""
         index = self._index.pop(name, None)
         if index is None:
             return
@@ -59,7 +60,7 @@
             self._index[last] = index
 
     def sample(self, rng, count):
-        """Return up to ``count`` members, drawn with repeats left out."""
+        """Return up to ``count`` distinct members, drawn at random."""
         if len(self._names) <= count:
             return list(self._names)
         drawn = [rng.choice(self._names) for _ in range(count)]
@@ -67,316 +68,362 @@
 
 
 class CacheHints:
-    """Where prefixes were seen last: own sends and late, gappy cache events."""
+    """Upstreams that recently received or reported each prefix.
+
+    The hints come from this instance's own placements and from cache events, which are
+    late and incomplete.
+    """
 
     def __init__(self):
-        self._holders = OrderedDict()
+        self._upstreams_by_prefix = OrderedDict()
 
     def add(self, prefix, name):
-        """Remember a holder; the newest two are kept."""
-        held = self._holders.pop(prefix, ())
-        others = tuple(other for other in held if other != name)
-        self._holders[prefix] = (name, *others)[:OWNERS]
-        keep_latest(self._holders, REMEMBERED)
+        """Record that an upstream has the prefix; the newest PREFIX_OWNERS are kept."""
+        recent = self._upstreams_by_prefix.pop(prefix, ())
+        others = tuple(other for other in recent if other != name)
+        self._upstreams_by_prefix[prefix] = (name, *others)[:PREFIX_OWNERS]
+        keep_latest(self._upstreams_by_prefix, MAX_HINTS)
 
     def find(self, prefix):
-        """Return the names that may hold the prefix."""
-        return self._holders.get(prefix, ())
+        """Return the names of the upstreams that may have the prefix cached."""
+        return self._upstreams_by_prefix.get(prefix, ())
 
 
 class PoolState:
     """The upstreams of one pool, as one entry instance sees them.
 
-    Upstreams with room are kept in sets that change with each start, end and
-    report, so that a decision looks at a handful whatever the pool's size.
+    Upstreams with free room are indexed in sets that are updated at each start, end and
+    load report, so that a placement examines a few upstreams whatever the pool's size.
     """
 
-    def __init__(self, name, data_centre, first_pace):
+    def __init__(self, name, data_centre, initial_pace):
         self.name = name
-        self.states = {}
-        self.hints = CacheHints()
-        self.reference = Reference(first_pace)
+        self.upstream_states = {}
+        self.cache_hints = CacheHints()
+        self.pace = Pace(initial_pace)
         self.running = 0
-        self.yielding = 0
-        self.entries = 1
-        self.reserve = 0
-        self.ahead = 0
+        self.non_urgent_count = 0
+        self.entry_count = 1
+        self.reserved_slots = 0
+        self.overcommit = 0
         self._data_centre = data_centre
         self._ring = Ring()
-        # By whether the work is over its quota, and so has to leave the reserve.
-        self._open = {False: Members(), True: Members()}
-        self._near = {False: Members(), True: Members()}
-        self._live = Members()
-        self._load = 0
-        self._slots = 0
-        self._running = 0
-        self._counted = {}
-        # Live upstreams by the model that they say they have, and those that don't say.
-        self._having = defaultdict(Members)
-        self._silent = Members()
-        self._models = {}
+        # Keyed by keep_reserve: whether the work must leave the reserved slots free.
+        self._with_room = {False: RandomSet(), True: RandomSet()}
+        self._near_with_room = {False: RandomSet(), True: RandomSet()}
+        self._live = RandomSet()
+        self._total_load = 0
+        self._total_slots = 0
+        self._total_running = 0
+        self._contributions = {}
+        # Live upstreams by the models that they report, and those that don't report
+        # their models.
+        self._by_model = defaultdict(RandomSet)
+        self._models_unknown = RandomSet()
+        self._indexed_models = {}
 
     def update(self, upstreams, leaving):
-        """Set the members; what is known of those that stay is kept."""
+        """Set the members of the pool; the state of those that stay is kept."""
         wanted = {upstream.name: upstream for upstream in upstreams}
-        if wanted == {name: state.upstream for name, state in self.states.items()}:
+        if wanted == {
+            name: state.upstream for name, state in self.upstream_states.items()
+        }:
             return
-        for name in [name for name in self.states if name not in wanted]:
-            lost = self.states.pop(name).running.values()
-            self.running -= len(lost)
-            self.yielding -= sum(attempt.yielding for attempt in lost)
-            self._count(name)
+        for name in [name for name in self.upstream_states if name not in wanted]:
+            lost_attempts = self.upstream_states.pop(name).running.values()
+            self.running -= len(lost_attempts)
+            self.non_urgent_count -= sum(
+                attempt.non_urgent for attempt in lost_attempts
+            )
+            self._update_indexes(name)
         for name, upstream in wanted.items():
-            state = self.states.setdefault(name, UpstreamState(upstream, self.entries))
+            state = self.upstream_states.setdefault(
+                name, UpstreamState(upstream, self.entry_count)
+            )
             state.upstream = upstream
             state.leaving = name in leaving
-        self._rebuild()
+        self._rebuild_ring()
 
     def refresh(self, name):
-        """Bring the sets up to date after one upstream changed."""
-        self._count(name)
+        """Update the totals and sets after one upstream changed."""
+        self._update_indexes(name)
 
     def set_models(self, name, models):
-        """Set the models that an upstream says it has."""
-        self.states[name].models = models
-        self._count(name)
+        """Set the models that an upstream reports as loaded, or None."""
+        self.upstream_states[name].models = models
+        self._update_indexes(name)
 
-    def is_bound(self, work):
-        """Tell whether some live upstreams may not run this work."""
-        return bool(work.excluded) or self._find_holders(work) is not None
+    def is_restricted(self, work):
+        """Return whether some live upstreams can't run this work."""
+        return bool(work.excluded) or self._find_serving_sets(work) is not None
 
-    def set_reserve(self, reserve):
-        """Keep so many slots of each upstream for short urgent work."""
-        if reserve == self.reserve:
+    def set_reserve(self, reserved_slots):
+        """Reserve this many slots of each upstream for short urgent work."""
+        if reserved_slots == self.reserved_slots:
             return
-        self.reserve = reserve
-        for name in self.states:
-            self._count(name)
-
-    def set_usual(self, seconds, ahead):
-        """Set how long usual work takes and how much may wait in each upstream."""
-        for state in self.states.values():
-            state.usual = seconds
-        if ahead == self.ahead:
+        self.reserved_slots = reserved_slots
+        for name in self.upstream_states:
+            self._update_indexes(name)
+
+    def set_typical(self, seconds, overcommit):
+        """Set the typical service time and the overcommit of each upstream.
+
+        ``seconds`` is the time that typical work takes; ``overcommit`` is the number of
+        requests that may wait in each upstream beyond its slots.
+        """
+        for state in self.upstream_states.values():
+            state.typical_seconds = seconds
+        if overcommit == self.overcommit:
             return
-        self.ahead = ahead
-        for name in self.states:
-            self._count(name)
+        self.overcommit = overcommit
+        for name in self.upstream_states:
+            self._update_indexes(name)
 
-    def set_entries(self, entries):
-        """Set how many entry instances share the pool."""
-        self.entries = max(1, entries)
-        for name, state in self.states.items():
-            state.entries = self.entries
-            self._count(name)
+    def set_entry_count(self, entry_count):
+        """Set the number of entry instances that share the pool."""
+        self.entry_count = max(1, entry_count)
+        for name, state in self.upstream_states.items():
+            state.entry_count = self.entry_count
+            self._update_indexes(name)
 
     def count_slots(self):
-        """Return the slots of all live upstreams."""
-        return self._slots
+        """Return the number of slots of all live upstreams."""
+        return self._total_slots
 
     def measure_load(self):
-        """Return what all live upstreams have in hand."""
-        return self._load
+        """Return the number of requests on all live upstreams."""
+        return self._total_load
 
     def count_live(self):
-        """Return how many upstreams may take new work."""
+        """Return how many upstreams accept new work."""
         return len(self._live)
 
     def has_other(self, excluded):
-        """Tell whether an upstream beside these may take new work."""
-        states = self.states
-        passed = sum(states[name].is_live() for name in excluded if name in states)
-        return len(self._live) > passed
-
-    def count_open(self, yields):
-        """Return how many upstreams have room."""
-        return len(self._open[yields])
-
-    def count_free(self):
-        """Return the slots that look free on all live upstreams."""
-        live = (self.states[name] for name in self._counted)
+        """Return whether an upstream outside ``excluded`` accepts new work."""
+        upstream_states = self.upstream_states
+        excluded_live = sum(
+            upstream_states[name].is_live()
+            for name in excluded
+            if name in upstream_states
+        )
+        return len(self._live) > excluded_live
+
+    def count_with_room(self, keep_reserve):
+        """Return how many upstreams have room for another request."""
+        return len(self._with_room[keep_reserve])
+
+    def count_free_slots(self):
+        """Return the estimated number of free slots on all live upstreams."""
+        live = (self.upstream_states[name] for name in self._contributions)
         return sum(max(0, state.slots - state.load) for state in live)
 
-    def measure_concurrency(self):
-        """Return how many requests this entry instance can have running.
+    def estimate_concurrency(self):
+        """Return how many requests this entry instance can have running at once.
 
-        Of those in flight on live upstreams some wait in one that is over full.
+        Its requests on overcommitted upstreams don't all run: some wait there. They are
+        therefore scaled by slots over load. The result is at least this instance's
+        share of the slots, and at least 1.
         """
-        started = self._running * min(1.0, self._slots / max(self._load, 1e-9))
-        return max(started, self.measure_part(), 1.0)
-
-    def measure_part(self):
-        """Return this entry instance's part of all live slots."""
-        return self._slots / self.entries
-
-    def choose(self, work, yields, over, estimate, rng):
-        """Return the best upstream's name and the cost there, or None.
-
-        Load: skewed prefixes over many upstreams. Harm prevented: the idlest one
-        everywhere means every prefix is computed everywhere; the same one always
-        means that a hot prefix drowns its owner.
+        started = self._total_running * min(
+            1.0, self._total_slots / max(self._total_load, 1e-9)
+        )
+        return max(started, self.get_slot_share(), 1.0)
+
+    def get_slot_share(self):
+        """Return this entry instance's equal share of all live slots."""
+        return self._total_slots / self.entry_count
+
+    def choose(self, work, keep_reserve, extra, estimate, rng):
+        """Return the best upstream's name, its cost and its cached tokens, or None.
+
+        Prefixes are skewed. If each request went to the least loaded upstream, every
+        prefix would be computed on every upstream; if each prefix always went to the
+        same upstream, a hot prefix would overload it. The choice therefore weighs
+        cached tokens against load.
+
+        ``keep_reserve`` is set if the work must leave the reserved slots free.
+        ``extra`` is the number of requests that may be sent to a full upstream in
+        addition to the overcommit. ``estimate`` returns the cost of work for a number
+        of cached tokens.
         """
-        if self._keeps(work, yields):
+        if self._can_use_cache(work, keep_reserve):
             cached = work.prompt_tokens + work.tokens
             return work.keeper, estimate(work, cached), cached
         owners = self._find_owners(work)
-        holders = self._find_holders(work)
-        if holders is None:
-            names = list(owners) + self._draw(rng, work, yields)
+        serving_sets = self._find_serving_sets(work)
+        if serving_sets is None:
+            names = list(owners) + self._draw(rng, work, keep_reserve)
         else:
-            names = self._draw_holders(rng, holders)
-        able = [name for name in names if self._fits(name, work, yields)]
-        if holders is not None:
-            able = self._prefer_near(able)
-        if not able and holders is None:
-            able = self._draw_over(rng, work, yields, over)
-        if not able:
+            names = self._draw_serving(rng, serving_sets)
+        candidates = [
+            name for name in names if self._has_room_for(name, work, keep_reserve)
+        ]
+        if serving_sets is not None:
+            candidates = self._prefer_near(candidates)
+        if not candidates and serving_sets is None:
+            candidates = self._draw_full(rng, work, keep_reserve, extra)
+        if not candidates:
             return None
-        scored = [self._score(name, work, owners, estimate) for name in able]
+        scored = [self._score(name, work, owners, estimate) for name in candidates]
         _, name, cost, cached = min(scored)
         return name, cost, cached
 
-    def _keeps(self, work, yields):
-        """Tell whether to go where the KV cache of half-done work is.
+    def _can_use_cache(self, work, keep_reserve):
+        """Return whether to send the work to the upstream that has its KV cache.
 
-        Load: a data centre's entry instances reclaimed, all their work resumed by
-        others. Harm prevented: everything computed a second time, on engines that are
-        just then short. The limit is the keeper's room: beyond it, waiting costs more.
+        When the entry instances of a data centre are reclaimed, other instances resume
+        all their work. Sent elsewhere, it would all be computed a second time, on
+        engines that are scarce at that moment. If the upstream with the cache has no
+        room, waiting for it would cost more than computing again.
         """
-        return work.keeper in self.states and self._fits(work.keeper, work, yields)
+        return work.keeper in self.upstream_states and self._has_room_for(
+            work.keeper, work, keep_reserve
+        )
 
     def _find_owners(self, work):
-        """Return name to cached tokens for those that may hold the prefix."""
-        if not work.prefix or work.prompt_tokens < AFFINITY_TOKENS:
+        """Map each upstream that may have the prefix to its assumed cached tokens."""
+        if not work.prefix or work.prompt_tokens < MIN_AFFINITY_TOKENS:
             return {}
         owners = {}
-        for name in self._ring.find(work.prefix, OWNERS, self._live):
+        for name in self._ring.find(work.prefix, PREFIX_OWNERS, self._live):
             if self._is_within_bound(name):
-                owners[name] = int(work.prompt_tokens * OWNER_GUESS)
+                owners[name] = int(work.prompt_tokens * ASSUMED_CACHED_PART)
                 break
-        for name in self.hints.find(work.prefix):
+        for name in self.cache_hints.find(work.prefix):
             if name in self._live:
                 owners[name] = work.prompt_tokens
         return owners
 
-    def _find_holders(self, work):
-        """Return the sets of live upstreams that have the model, or None for all.
+    def _find_serving_sets(self, work):
+        """Return the sets of live upstreams that serve the model, or None for all.
 
-        Load: a new version while its engines load it. Harm: an engine that hasn't
-        loaded it answers that it can't, and the caller pays with a retry. Where none
-        has it, any is as good: the report may be late.
+        While the engines of a pool load a new version, an engine without it answers
+        with an error, and the caller loses a retry. If no engine reports the model, any
+        of them may be chosen, because the report may be late.
         """
-        if not work.model or len(self._silent) == len(self._live):
+        if not work.model or len(self._models_unknown) == len(self._live):
             return None
-        having = self._having.get(work.model, ())
-        count = len(having) + len(self._silent)
+        reporting = self._by_model.get(work.model, ())
+        count = len(reporting) + len(self._models_unknown)
         if count in (0, len(self._live)):
             return None
-        return [having, self._silent] if having else [self._silent]
+        return (
+            [reporting, self._models_unknown] if reporting else [self._models_unknown]
+        )
 
-    def _draw_holders(self, rng, holders):
-        return [name for one in holders for name in one.sample(rng, HOLDER_TRIES)]
+    def _draw_serving(self, rng, serving_sets):
+        return [
+            name for group in serving_sets for name in group.sample(rng, MODEL_PICKS)
+        ]
 
     def _prefer_near(self, names):
         near = [name for name in names if self._is_near(name)]
         return near or names
 
     def _is_near(self, name):
-        return self.states[name].upstream.data_centre == self._data_centre
+        return self.upstream_states[name].upstream.data_centre == self._data_centre
 
     def _is_within_bound(self, name):
-        state = self.states[name]
-        mean = self._load / max(1, self._slots)
-        return state.load <= BOUND * mean * state.slots + 1
+        state = self.upstream_states[name]
+        mean = self._total_load / max(1, self._total_slots)
+        return state.load <= LOAD_BOUND * mean * state.slots + 1
 
-    def _draw(self, rng, work, yields):
-        """Return two random upstreams with room, of the own data centre if any.
+    def _draw(self, rng, work, keep_reserve):
+        """Return two random upstreams with room, from this data centre if possible.
 
-        Load: many entry instances that decide without talking. Harm prevented:
-        a herd on the one that looks idlest; two choices suffice to even out.
+        Many entry instances decide independently. If each chose the least loaded
+        upstream, all would send to the same one; the better of two random choices is
+        enough to spread load.
         """
-        names = self._near[yields].sample(rng, 2)
+        names = self._near_with_room[keep_reserve].sample(rng, 2)
         if any(name not in work.excluded for name in names):
             return names
-        return self._open[yields].sample(rng, TRIES)
+        return self._with_room[keep_reserve].sample(rng, RANDOM_PICKS)
 
-    def _draw_over(self, rng, work, yields, over):
-        """Return upstreams that are full, while we hold less than our part.
+    def _draw_full(self, rng, work, keep_reserve, extra):
+        """Return random full upstreams that may get this work beyond their slots.
 
-        Load: saturation. Harm prevented: an entry instance that starts late finds
-        every slot taken by the others and would get none.
+        While an entry instance is below its share of the slots, it may send one more
+        request. Under saturation, an instance that starts late finds every slot in use
+        by the others and would otherwise get none.
         """
-        if not yields and self.running < self.measure_part():
-            over += 1
-        if not over:
+        if not keep_reserve and self.running < self.get_slot_share():
+            extra += 1
+        if not extra:
             return []
-        names = self._live.sample(rng, TRIES)
-        return [name for name in names if self._fits(name, work, yields, over)]
-
-    def _fits(self, name, work, yields, over=0):
-        state = self.states[name]
+        names = self._live.sample(rng, RANDOM_PICKS)
+        return [
+            name
+            for name in names
+            if self._has_room_for(name, work, keep_reserve, extra)
+        ]
+
+    def _has_room_for(self, name, work, keep_reserve, extra=0):
+        state = self.upstream_states[name]
         if name in work.excluded or not state.is_live() or state.paused_until:
             return False
-        over += self.ahead
-        return state.has_room(self.reserve if yields else 0, over)
+        extra += self.overcommit
+        return state.has_room(self.reserved_slots if keep_reserve else 0, extra)
 
     def _score(self, name, work, owners, estimate):
-        """Return the expected time there, with name, cost and cached tokens."""
-        state = self.states[name]
+        """Return the expected seconds there, the name, cost and cached tokens."""
+        state = self.upstream_states[name]
         cached = owners.get(name, 0)
         cost = estimate(work, cached)
-        pace = state.limit.pace or self.reference.mean
-        crowd = 1.0 + BATCH_PART * state.load
-        ahead = max(0.0, state.load + 1 - state.slots)
-        wait = ahead * state.usual / state.slots
-        return wait + cost * pace * crowd, name, cost, cached
-
-    def _rebuild(self):
-        self._ring = Ring(self.states)
-        for name in self.states:
-            self._count(name)
-
-    def _count(self, name):
-        """Renew what the totals and sets hold of one upstream."""
-        load, slots, running = self._counted.pop(name, (0, 0, 0))
-        self._load -= load
-        self._slots -= slots
-        self._running -= running
-        state = self.states.get(name)
+        pace = state.limit.pace or self.pace.mean
+        slowdown = 1.0 + BATCH_SLOWDOWN * state.load
+        queued = max(0.0, state.load + 1 - state.slots)
+        wait = queued * state.typical_seconds / state.slots
+        return wait + cost * pace * slowdown, name, cost, cached
+
+    def _rebuild_ring(self):
+        self._ring = Ring(self.upstream_states)
+        for name in self.upstream_states:
+            self._update_indexes(name)
+
+    def _update_indexes(self, name):
+        """Update the totals and sets with the present state of one upstream."""
+        load, slots, running = self._contributions.pop(name, (0, 0, 0))
+        self._total_load -= load
+        self._total_slots -= slots
+        self._total_running -= running
+        state = self.upstream_states.get(name)
         live = state is not None and state.is_live()
-        self._put(self._live, name, live)
+        self._set_member(self._live, name, live)
         if live:
             running = len(state.running)
-            self._counted[name] = (state.load, state.slots, running)
-            self._load += state.load
-            self._slots += state.slots
-            self._running += running
+            self._contributions[name] = (state.load, state.slots, running)
+            self._total_load += state.load
+            self._total_slots += state.slots
+            self._total_running += running
         ready = live and not state.paused_until
         near = live and self._is_near(name)
-        self._count_models(name, state.models if live else frozenset())
-        for yields in (False, True):
-            kept = self.reserve if yields else 0
-            room = ready and state.has_room(kept, self.ahead)
-            self._put(self._open[yields], name, room)
-            self._put(self._near[yields], name, room and near)
-
-    def _count_models(self, name, models):
-        """Renew the sets by model; None is put into that of the silent."""
-        before = self._models.get(name, frozenset())
+        self._index_models(name, state.models if live else frozenset())
+        for keep_reserve in (False, True):
+            reserved = self.reserved_slots if keep_reserve else 0
+            has_room = ready and state.has_room(reserved, self.overcommit)
+            self._set_member(self._with_room[keep_reserve], name, has_room)
+            self._set_member(
+                self._near_with_room[keep_reserve], name, has_room and near
+            )
+
+    def _index_models(self, name, models):
+        """Update the sets by model; ``models`` is None if they aren't reported."""
+        before = self._indexed_models.get(name, frozenset())
         if before == models:
             return
         for model in before or ():
-            self._having[model].discard(name)
-            if not len(self._having[model]):
-                del self._having[model]
+            self._by_model[model].discard(name)
+            if not len(self._by_model[model]):
+                del self._by_model[model]
         for model in models or ():
-            self._having[model].add(name)
-        self._put(self._silent, name, models is None)
-        self._models[name] = models
+            self._by_model[model].add(name)
+        self._set_member(self._models_unknown, name, models is None)
+        self._indexed_models[name] = models
         if models == frozenset():
-            del self._models[name]
+            del self._indexed_models[name]
 
-    def _put(self, members, name, wanted):
+    def _set_member(self, members, name, wanted):
         if wanted:
             members.add(name)
         else:
--- a/src/chervilwing/pools.py
+++ b/src/chervilwing/pools.py
@@ -1,4 +1,4 @@
-"""What one entry instance knows of a pool, and the room it gives to each work."""
+"""The queue, measurements and quotas of one pool at one entry instance."""
 
 from math import exp, log
 from typing import NamedTuple, TypedDict
@@ -8,36 +8,42 @@
 from .limits import FALL_WEIGHT
 from .models import MODEL, SERVICE
 from .placement import PoolState
-from .queues import BANDS, LANES, SHORT, SURE_SHARE, FairQueue
+from .queues import BANDS, GUARANTEED_SHARE, LANES, SHORT, FairQueue
 from .rates import Excess, Rate
 
-# Seconds that a unit of cost takes before anything was measured.
-FIRST_PACE = {MODEL: 0.05, SERVICE: 0.05}
-# Work over this many times the pool's usual cost is long.
-LONG_RATIO = 4.0
-# Other work over its quota leaves one slot in this many of each upstream free.
-RESERVE_PART = 4
-# Seconds between two settings of the quota, which moves far more slowly.
-SHARE_EVERY = 0.1
-# An upstream may be sent, beyond its slots, what it clears in this part of the
-# tightest first-token target among the pool's classes. Load: peaks at one entry
-# instance while others are calm, and work shorter than the time between reports. Harm
-# prevented: slots that stand empty until the next report; what would be late for the
-# wait is kept back where it can still be reordered, moved or refused.
-ENGINE_PART = 0.5
-# Urgent work needs this many times the slots of its mean, since it comes in clumps.
-URGENT_ROOM = 1.2
+# Seconds per unit of cost before the first measurement.
+INITIAL_PACE = {MODEL: 0.05, SERVICE: 0.05}
+# Work above this multiple of the pool's typical cost is long.
+LONG_COST_RATIO = 4.0
+# One in this many slots of each upstream is reserved; work over its quota must leave it
+# free.
+RESERVE_DIVISOR = 4
+# Seconds between updates of the quota, which changes far more slowly.
+QUOTA_INTERVAL = 0.1
+# Beyond its slots, an upstream may be sent the work that it completes in this part of
+# the tightest first-token target of the pool. Otherwise slots would stay empty until
+# the next load report when one entry instance has a peak or work is shorter than the
+# report interval. Further work, which would be late because of the wait, stays in the
+# queue, where it can still be reordered, moved or refused.
+OVERCOMMIT_PART = 0.5
+# Urgent work arrives in bursts and needs this multiple of its mean number of slots.
+URGENT_HEADROOM = 1.2
 
 
 class SchedulingSettings(NamedTuple):
-    """Where this entry instance runs and how many there are."""
+    """The data centre of this entry instance and the number of entry instances."""
 
     data_centre: str
     entries: int = 7
 
 
 class PoolFigures(TypedDict):
-    """What ``describe`` tells of one pool."""
+    """The figures of one pool.
+
+    ``waiting`` and ``running`` count requests, ``live`` counts upstreams. ``pace`` is
+    the mean of seconds per unit of cost, ``excess`` the ratio of offered to admitted
+    work, and ``limits`` the concurrency limit by upstream.
+    """
 
     waiting: int
     running: int
@@ -55,110 +61,126 @@
         self.name = name
         self.kind = kind
         self.queue = FairQueue()
-        self.state = PoolState(name, cfg.data_centre, FIRST_PACE[kind])
-        self.state.set_entries(cfg.entries)
+        self.state = PoolState(name, cfg.data_centre, INITIAL_PACE[kind])
+        self.state.set_entry_count(cfg.entries)
         self.excess = Excess()
         self.congestion = Congestion()
-        self.regroup_until = 0.0
-        self.usual = None
-        self.offered = {lane: Rate() for lane in LANES}
-        self.top = BANDS[0]
-        self.quota = 0.0
-        self._shared_at = -SHARE_EVERY
-        # Whether anything has come that may let queued work start.
-        self.changed = True
-        self.first_tokens = {}
-        self.targets = {}
+        self.recovering_until = 0.0
+        self._log_typical_cost = None
+        self.offered_rates = {lane: Rate() for lane in LANES}
+        self.urgent_band = BANDS[0]
+        self.non_urgent_quota = 0.0
+        self._quota_set_at = -QUOTA_INTERVAL
+        # Set when a change since the last dispatch may let queued work start.
+        self.needs_dispatch = True
+        self.first_token_seconds = {}
+        self.latency_targets = {}
 
     def refresh(self, name):
-        """Take note that one upstream changed."""
+        """Update the indexes after one upstream changed."""
         self.state.refresh(name)
-        self.changed = True
+        self.needs_dispatch = True
 
-    def learn_first_token(self, work_class, seconds):
-        """Keep the mean time from placement to first token of a class."""
-        old = self.first_tokens.get(work_class, seconds)
+    def record_first_token(self, work_class, seconds):
+        """Update the mean time from placement to first token of a class."""
+        old = self.first_token_seconds.get(work_class, seconds)
         weight = FALL_WEIGHT if seconds < old else SAMPLE_WEIGHT
-        self.first_tokens[work_class] = blend(old, seconds, weight)
+        self.first_token_seconds[work_class] = blend(old, seconds, weight)
 
     def is_long(self, cost):
-        """Tell whether work is long for this pool."""
-        return self.usual is not None and cost > LONG_RATIO * exp(self.usual)
+        """Return whether the cost is long for this pool."""
+        return self._log_typical_cost is not None and cost > LONG_COST_RATIO * exp(
+            self._log_typical_cost
+        )
 
-    def measure_tightest(self):
-        """Return the shortest first-token target among the classes offered here."""
-        return min(self.targets.values(), default=0.0)
+    def get_tightest_target(self):
+        """Return the shortest first-token target of the classes offered, in seconds."""
+        return min(self.latency_targets.values(), default=0.0)
 
-    def must_yield(self, lane):
-        """Tell whether work of the lane has to leave each upstream's reserve.
+    def must_keep_reserve(self, lane):
+        """Return whether work of the lane must leave the reserved slots free.
 
-        It has to when it is over its quota, and so has all work of an entry instance
-        that has its part of the slots in use. Load: saturation, with one slot that
-        falls free and many entry instances that see it. Harm prevented: all send to
-        it at once; those below their part are too few for that.
+        It must if it exceeds its quota. So must all work of an entry instance that
+        already uses its share of the slots: under saturation, many entry instances see
+        the same slot become free, and all of them would send to it. Instances below
+        their share are few enough to avoid this.
         """
-        if self.state.running >= self.state.measure_part():
+        if self.state.running >= self.state.get_slot_share():
             return True
-        return lane != (self.top, SHORT) and self.state.yielding + 1 > self.quota
+        return (
+            lane != (self.urgent_band, SHORT)
+            and self.state.non_urgent_count + 1 > self.non_urgent_quota
+        )
 
-    def measure_rate(self, band, whole, now):
-        """Return what more urgent bands leave, or the sure share if that is more.
+    def get_band_rate(self, band, total_rate, now):
+        """Return the cost per second available to a band.
 
-        Their work counts as offered, whether it was let in or not: it goes first
-        as soon as there is room.
+        That is what more urgent bands leave, or the guaranteed share if that is more.
+        Their work counts as offered, whether or not it was admitted, because it goes
+        first as soon as there is room.
         """
         lanes = [lane for lane in LANES if lane[0] < band]
-        urgent = sum(self.offered[lane].measure(now) for lane in lanes)
-        return max(whole - urgent, whole * SURE_SHARE[band])
-
-    def measure_usual_cost(self):
-        """Return the cost of usual work."""
-        return 1.0 if self.usual is None else exp(self.usual)
-
-    def measure_usual(self):
-        """Return the seconds that usual work takes."""
-        return self.measure_usual_cost() * self.state.reference.mean
-
-    def learn_usual(self, cost):
-        """Keep the geometric mean of what is offered."""
-        self.usual = log(cost) if self.usual is None else blend(self.usual, log(cost))
+        urgent = sum(self.offered_rates[lane].measure(now) for lane in lanes)
+        return max(total_rate - urgent, total_rate * GUARANTEED_SHARE[band])
+
+    def get_typical_cost(self):
+        """Return the typical cost of offered work."""
+        return 1.0 if self._log_typical_cost is None else exp(self._log_typical_cost)
+
+    def get_typical_seconds(self):
+        """Return the seconds that typical work takes."""
+        return self.get_typical_cost() * self.state.pace.mean
+
+    def record_cost(self, cost):
+        """Update the geometric mean of the offered costs."""
+        self._log_typical_cost = (
+            log(cost)
+            if self._log_typical_cost is None
+            else blend(self._log_typical_cost, log(cost))
+        )
 
-    def share_out(self, now):
+    def update_quota(self, now):
         """Set how many slots may hold work that is long or less urgent.
 
-        Load: saturation with a mix of long and short. Harm prevented: each slot
-        that falls free goes to long work, which can wait for it, and once all hold
-        long work none falls free within the short work's target. Little's law gives
-        the slots that the urgent work offered of late needs; the rest may hold
-        other work, and more of it only as its sure share falls due or where an
-        upstream keeps a reserve.
+        Under saturation with a mix of long and short work, each freed slot would go to
+        long work, which can wait for it. Once long work holds all slots, none becomes
+        free within the target of the short work. By Little's law, the recent rate of
+        short urgent work gives the slots that it needs. The rest may hold other work,
+        and more of it only if its guaranteed share is due or the upstream keeps its
+        reserve.
         """
-        if now - self._shared_at < SHARE_EVERY:
+        if now - self._quota_set_at < QUOTA_INTERVAL:
             return
-        self._shared_at = now
-        rates = [self.offered[band, SHORT].measure(now) for band in BANDS]
-        self.top = next((band for band in BANDS if rates[band] > 0), BANDS[0])
-        needed = rates[self.top] * self.state.reference.mean
-        part = self.state.measure_part()
-        self.quota = part - URGENT_ROOM * needed
+        self._quota_set_at = now
+        rates = [self.offered_rates[band, SHORT].measure(now) for band in BANDS]
+        self.urgent_band = next((band for band in BANDS if rates[band] > 0), BANDS[0])
+        needed = rates[self.urgent_band] * self.state.pace.mean
+        slot_share = self.state.get_slot_share()
+        self.non_urgent_quota = slot_share - URGENT_HEADROOM * needed
         slots = self.state.count_slots() // max(1, self.state.count_live())
-        self.state.set_reserve(max(1, slots // RESERVE_PART) if slots > 1 else 0)
-        usual = max(self.measure_usual(), 1e-6)
-        ahead = self.measure_tightest() * ENGINE_PART * slots / usual
-        # Before anything was measured nothing may wait in an upstream on a guess.
-        measured = self.state.reference.measured
-        self.state.set_usual(usual, int(ahead) if measured else 0)
+        self.state.set_reserve(max(1, slots // RESERVE_DIVISOR) if slots > 1 else 0)
+        typical_seconds = max(self.get_typical_seconds(), 1e-6)
+        overcommit = (
+            self.get_tightest_target() * OVERCOMMIT_PART * slots / typical_seconds
+        )
+        # Without a measurement, no work may wait in an upstream on the basis of a
+        # guess.
+        measured = self.state.pace.measured
+        self.state.set_typical(typical_seconds, int(overcommit) if measured else 0)
 
     def describe(self, now):
-        """Return figures for the operators."""
+        """Return the figures of this pool for operators."""
         state = self.state
-        limits = {name: upstream.limit.value for name, upstream in state.states.items()}
+        limits = {
+            name: upstream.limit.value
+            for name, upstream in state.upstream_states.items()
+        }
         return PoolFigures(
             waiting=len(self.queue),
             running=state.running,
             live=state.count_live(),
             slots=state.count_slots(),
-            pace=state.reference.mean,
+            pace=state.pace.mean,
             excess=self.excess.measure(now),
             limits=limits,
         )
--- a/src/chervilwing/queues.py
+++ b/src/chervilwing/queues.py
@@ -1,4 +1,4 @@
-"""Bounded queues with weighted fair shares on cost, priority and deadline."""
+"""Fair queue by weight, cost, priority band and deadline."""
 
 from heapq import heappop, heappush, heapreplace
 from itertools import count
@@ -7,39 +7,44 @@
 from .rates import Rate
 from .work import Work
 
-# Bands of priority; what the rules number higher than the last falls into it.
+# Priority bands, the most urgent first. Priorities above the last count as the last.
 BANDS = (0, 1, 2)
-YIELDING = BANDS[-1]
+LOWEST_BAND = BANDS[-1]
 SHORT = "short"
 LONG = "long"
+# A lane is a band with a size class of work.
 LANES = tuple((band, size) for band in BANDS for size in (SHORT, LONG))
 
-# The part of the work that a band gets for sure while more urgent bands wait: so
-# that a customer with nothing but plans or batch work is never starved by another
-# one's short questions, and small enough to keep those within their target.
-SURE_SHARE = {0: 1.0, 1: 0.3, 2: 0.1}
+# Part of the service that a band is guaranteed while more urgent bands wait. It keeps a
+# customer with only less urgent work from starving behind another one's short requests,
+# and is small enough for those to meet their latency target.
+GUARANTEED_SHARE = {0: 1.0, 1: 0.3, 2: 0.1}
 
 
-class Queued(NamedTuple):
-    """Work that waits, with what was estimated when it came in."""
+class QueuedWork(NamedTuple):
+    """Queued work with the estimates made on its arrival.
+
+    ``cost`` is in decoded tokens; ``latest_start`` is the latest time at which the work
+    can start and still meet its deadline.
+    """
 
     work: Work
     cost: float
     lane: tuple[int, str]
-    give_up: float
+    latest_start: float
 
     @property
     def band(self):
-        """The band of priority."""
+        """Return the priority band."""
         return self.lane[0]
 
 
 class Flow:
-    """What one customer has waiting in one band, and its place in virtual time."""
+    """The queued work of one customer in one band, and its virtual start time."""
 
     def __init__(self, weight):
         self.weight = weight
-        self.tag = 0.0
+        self.start_tag = 0.0
         self.size = 0
         self.cost = 0.0
         self.served = Rate()
@@ -48,180 +53,186 @@
 
 
 class Band:
-    """The totals of one band of priority."""
+    """The totals, virtual time and credit of one priority band."""
 
     def __init__(self):
         self.size = 0
         self.cost = 0.0
         self.weight = 0.0
         self.served = Rate()
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         self.credit = 0.0
 
 
 class FairQueue:
-    """The requests that wait for one pool.
-
-    Bands go in order of priority, each with a sure share. Within a band it is
-    start-time fair queueing over customers, on cost: whoever has had least for its
-    weight goes next. Load: one customer offers many times the others' work. Harm
-    prevented: in one line the small customers wait behind all of it. A share not
-    used is lent, without a debt: an idle customer comes back at the present
-    virtual time, so its first request gets the next free slot and its share is
-    back within one service time.
-
-    Long and short work wait in lanes of their own, so that the head of one never
-    holds up the other.
+    """The queued requests of one pool.
+
+    Bands are served in order of priority, each with a guaranteed share. Within a band,
+    start-time fair queueing divides the service between customers by cost: the customer
+    with the least service for its weight is next. In a single queue, small customers
+    would wait behind all the work of one customer that offers many times theirs. An
+    unused share goes to other customers and isn't owed back: a customer that was idle
+    returns at the current virtual time, so its first request gets the next free slot
+    and it has its full share again within one service time.
+
+    Long and short work wait in separate lanes, so that blocked work at the head of one
+    lane doesn't block the other.
     """
 
     def __init__(self):
         self._items = {}
         self._flows = {}
-        self._sizes = {}
+        self._sizes_by_customer = {}
         self._bands = {band: Band() for band in BANDS}
         self._active = {lane: [] for lane in LANES}
-        self._order = count()
+        self._sequence = count()
 
     def __len__(self):
         return len(self._items)
 
     def count(self, customer):
-        """Return how many requests of the customer wait."""
-        return self._sizes.get(customer, 0)
+        """Return how many requests of the customer are queued."""
+        return self._sizes_by_customer.get(customer, 0)
 
     def count_before(self, band):
-        """Return how many wait that may go before new work of the band."""
+        """Return how many queued requests may start before new work of the band."""
         return sum(self._bands[other].size for other in BANDS[: band + 1])
 
     def find(self, request_id):
-        """Return the waiting request, or None."""
+        """Return the queued item of a request, or None."""
         return self._items.get(request_id)
 
     def list_waiting(self):
-        """Return all that wait."""
+        """Return all queued items."""
         return tuple(self._items.values())
 
     def push(self, item, weight, front=False):
-        """Put work in its customer's queue, before the others if ``front``."""
+        """Add work to its customer's queue, ahead of the rest if ``front``."""
         customer = item.work.customer
         flow = self._flows.setdefault((customer, item.band), Flow(weight))
         band = self._bands[item.band]
         if not flow.size:
-            flow.tag = max(flow.tag, band.virtual)
+            flow.start_tag = max(flow.start_tag, band.virtual_time)
             flow.weight = weight
             band.weight += weight
         self._items[item.work.request_id] = item
-        self._count(item, 1)
-        rank = (not front, item.work.deadline, next(self._order))
+        self._add_to_totals(item, 1)
+        rank = (not front, item.work.deadline, next(self._sequence))
         heappush(flow.heaps[item.lane[1]], (*rank, item.work.request_id))
         if item.lane not in flow.active:
             flow.active.add(item.lane)
-            entry = (flow.tag, next(self._order), customer)
+            entry = (flow.start_tag, next(self._sequence), customer)
             heappush(self._active[item.lane], entry)
 
     def remove(self, request_id):
-        """Take one request out, or return None when it doesn't wait."""
+        """Remove and return one item, or return None if it isn't queued."""
         item = self._items.pop(request_id, None)
         if item is None:
             return None
-        self._count(item, -1)
+        self._add_to_totals(item, -1)
         flow = self._flows[item.work.customer, item.band]
         if not flow.size:
             self._bands[item.band].weight -= flow.weight
         return item
 
-    def is_due(self, item):
-        """Tell whether the item's band has its sure share still to get."""
+    def has_credit(self, item):
+        """Return whether the guaranteed credit of the item's band covers its cost."""
         return self._bands[item.band].credit >= item.cost
 
-    def peek(self, blocked, spare):
-        """Return the work to be placed next outside the blocked lanes, or None.
+    def peek(self, blocked, defer_lowest):
+        """Return the item to place next outside the blocked lanes, or None.
 
-        With ``spare`` the last band waits for as long as any other work does:
-        while survivors take over from a reclaimed zone.
+        With ``defer_lowest``, the lowest band waits while any other work is queued.
+        This is used while the surviving upstreams take over from a reclaimed zone.
         """
         heads = [self._find_band_head(band, blocked) for band in BANDS]
-        able = [item for item in heads if item is not None]
-        if len(able) < 2:
-            return able[0] if able else None
-        for item in reversed(able):
-            held = spare and item.band == YIELDING
-            if not held and self.is_due(item):
+        candidates = [item for item in heads if item is not None]
+        if len(candidates) < 2:
+            return candidates[0] if candidates else None
+        for item in reversed(candidates):
+            deferred = defer_lowest and item.band == LOWEST_BAND
+            if not deferred and self.has_credit(item):
                 return item
-        return able[0]
+        return candidates[0]
 
-    def take(self, item, now):
-        """Take out what ``peek`` returned and charge its customer."""
+    def dequeue(self, item, now):
+        """Remove the item that ``peek`` returned and charge its customer."""
         self.remove(item.work.request_id)
         flow = self._flows[item.work.customer, item.band]
         band = self._bands[item.band]
-        band.virtual = max(band.virtual, flow.tag)
+        band.virtual_time = max(band.virtual_time, flow.start_tag)
         band.credit = max(0.0, band.credit - item.cost)
-        flow.tag += item.cost / flow.weight
+        flow.start_tag += item.cost / flow.weight
         for totals in (flow, band):
             totals.served.record(item.cost, now)
-        for lower in BANDS[item.band + 1 :]:
-            if self._bands[lower].size:
-                self._bands[lower].credit += item.cost * SURE_SHARE[lower]
+        for lower_band in BANDS[item.band + 1 :]:
+            if self._bands[lower_band].size:
+                self._bands[lower_band].credit += (
+                    item.cost * GUARANTEED_SHARE[lower_band]
+                )
         return item
 
     def charge(self, customer, band, cost):
-        """Correct a customer's account by cost that the estimate missed."""
+        """Add the cost that the estimate missed to a customer's account."""
         flow = self._flows.get((customer, band))
         if flow is not None:
-            flow.tag = max(0.0, flow.tag + cost / flow.weight)
+            flow.start_tag = max(0.0, flow.start_tag + cost / flow.weight)
 
-    def measure_wait(self, customer, weight, band, cost, whole, rate, now):
-        """Return how long new work would wait for its turn, in seconds.
+    def estimate_wait(self, customer, weight, band, cost, total_rate, band_rate, now):
+        """Return the seconds that new work would wait for its turn.
 
-        ``whole`` is the cost a second that the pool serves, ``rate`` what of it is
-        left to the band. The customer's part of that is its fair share or what the
-        others leave, whichever is more.
+        ``total_rate`` is the cost per second that the pool serves and ``band_rate`` the
+        part of it available to the band. The customer gets its fair share of that or
+        what the other customers leave, whichever is more.
         """
         totals = self._bands[band]
-        urgent = sum(self._bands[other].cost for other in BANDS[:band])
+        urgent_cost = sum(self._bands[other].cost for other in BANDS[:band])
         flow = self._flows.get((customer, band))
         if flow is None or not flow.size:
-            fair = rate * weight / (totals.weight + weight)
-            return urgent / whole + cost / fair
-        others = totals.served.measure(now) - flow.served.measure(now)
-        fair = rate * flow.weight / totals.weight
-        return urgent / whole + (flow.cost + cost) / max(fair, rate - others)
-
-    def _count(self, item, sign):
+            fair_rate = band_rate * weight / (totals.weight + weight)
+            return urgent_cost / total_rate + cost / fair_rate
+        others_rate = totals.served.measure(now) - flow.served.measure(now)
+        fair_rate = band_rate * flow.weight / totals.weight
+        return urgent_cost / total_rate + (flow.cost + cost) / max(
+            fair_rate, band_rate - others_rate
+        )
+
+    def _add_to_totals(self, item, sign):
         customer = item.work.customer
-        self._sizes[customer] = self._sizes.get(customer, 0) + sign
+        self._sizes_by_customer[customer] = (
+            self._sizes_by_customer.get(customer, 0) + sign
+        )
         for totals in (self._flows[customer, item.band], self._bands[item.band]):
             totals.size += sign
             totals.cost = max(0.0, totals.cost + sign * item.cost)
 
     def _find_band_head(self, band, blocked):
-        """Return the band's next request: of the lane whose customer is behind."""
+        """Return the next item of the band, from the lane with the lowest start tag."""
         heads = [
             self._find_head((band, size))
             for size in (SHORT, LONG)
             if (band, size) not in blocked
         ]
-        able = [head for head in heads if head is not None]
-        return min(able, key=lambda head: head[0])[1] if able else None
+        candidates = [head for head in heads if head is not None]
+        return min(candidates, key=lambda head: head[0])[1] if candidates else None
 
     def _find_head(self, lane):
-        """Return tag and item of the lane's next request, dropping stale entries."""
+        """Return the start tag and item at the head of a lane; drop stale entries."""
         active = self._active[lane]
         while active:
-            tag, order, customer = active[0]
+            start_tag, order, customer = active[0]
             flow = self._flows[customer, lane[0]]
-            item = self._find_first(flow.heaps[lane[1]])
+            item = self._find_queued(flow.heaps[lane[1]])
             if item is None:
                 heappop(active)
                 flow.active.discard(lane)
-            elif tag < flow.tag:
-                heapreplace(active, (flow.tag, order, customer))
+            elif start_tag < flow.start_tag:
+                heapreplace(active, (flow.start_tag, order, customer))
             else:
-                return tag, item
+                return start_tag, item
         return None
 
-    def _find_first(self, heap):
+    def _find_queued(self, heap):
         while heap:
             item = self._items.get(heap[0][-1])
             if item is not None:
--- a/src/chervilwing/retries.py
+++ b/src/chervilwing/retries.py
@@ -1,4 +1,4 @@
-"""The rules for another attempt after one that brought no whole answer."""
+"""Rules for another attempt after one that returned no complete answer."""
 
 from typing import NamedTuple
 
@@ -13,79 +13,92 @@
 )
 from .work import BUSY, CANCELLED, EXHAUSTED, FAILED, LEAVING, PATH, SILENT
 
-# With two tries after the first, one lost upstream and one lost successor are
-# survived; a request that meets a third is more likely their cause.
+# Two retries survive the loss of one upstream and of one successor. A request that
+# fails a third time is more likely the cause itself.
 MAX_ATTEMPTS = 3
 
 
 class RetryRule(NamedTuple):
-    """What an outcome says about trying again."""
+    """Whether and how a request is retried after an outcome.
+
+    ``not_run``: the upstream didn't start the request. ``retryable``: another attempt
+    is allowed. ``budgeted``: it uses the retry budgets. ``excludes``: it must not go to
+    the same upstream; with ``reuse_if_only``, it may if there is no other.
+    ``counts_attempt``: the attempt counts towards MAX_ATTEMPTS.
+    """
 
     not_run: bool
-    again: bool
+    retryable: bool
     budgeted: bool
-    elsewhere: bool
-    same_if_alone: bool = False
-    counted: bool = True
+    excludes: bool
+    reuse_if_only: bool = False
+    counts_attempt: bool = True
 
 
-# EXHAUSTED names a resource that the siblings share, so that none of them is
-# asked (RFC 5390: retries at siblings of a full server made 18 requests of one).
-# LEAVING costs no budget: moves of accepted work are bounded by what was running.
-# PATH neither, and where there is no other it goes to the same upstream, which has just
-# answered on a new connection. Not by choice: one whose work hangs may answer probes.
+# EXHAUSTED means a resource shared with the other upstreams, so none of them is tried
+# (RFC 5390: retries at siblings of a full server made 18 requests of one). LEAVING uses
+# no budget: moves of accepted work are bounded by the number of running requests. PATH
+# uses none either. If there is no other upstream, it goes to the same one, which has
+# just answered on a new connection. Another upstream is preferred, because an upstream
+# may answer probes while its work hangs.
 RULES = {
-    BUSY: RetryRule(not_run=True, again=True, budgeted=True, elsewhere=False),
-    EXHAUSTED: RetryRule(not_run=True, again=False, budgeted=True, elsewhere=False),
-    FAILED: RetryRule(not_run=False, again=True, budgeted=True, elsewhere=True),
-    SILENT: RetryRule(not_run=False, again=True, budgeted=True, elsewhere=True),
-    PATH: RetryRule(False, True, budgeted=False, elsewhere=True, same_if_alone=True),
+    BUSY: RetryRule(not_run=True, retryable=True, budgeted=True, excludes=False),
+    EXHAUSTED: RetryRule(not_run=True, retryable=False, budgeted=True, excludes=False),
+    FAILED: RetryRule(not_run=False, retryable=True, budgeted=True, excludes=True),
+    SILENT: RetryRule(not_run=False, retryable=True, budgeted=True, excludes=True),
+    PATH: RetryRule(False, True, budgeted=False, excludes=True, reuse_if_only=True),
     LEAVING: RetryRule(
-        not_run=False, again=True, budgeted=False, elsewhere=True, counted=False
+        not_run=False,
+        retryable=True,
+        budgeted=False,
+        excludes=True,
+        counts_attempt=False,
+    ),
+    CANCELLED: RetryRule(
+        not_run=False, retryable=False, budgeted=False, excludes=False
     ),
-    CANCELLED: RetryRule(not_run=False, again=False, budgeted=False, elsewhere=False),
 }
 
 
 def count_attempt(rule, work, upstream):
-    """Return the work as it goes into its next attempt."""
-    excluded = work.excluded | {upstream} if rule.elsewhere else work.excluded
+    """Return the work with the ended attempt counted."""
+    excluded = work.excluded | {upstream} if rule.excludes else work.excluded
     return work._replace(
         excluded=excluded,
         attempts=work.attempts + 1,
-        moves=work.moves + (not rule.counted),
+        moves=work.moves + (not rule.counts_attempt),
     )
 
 
-def may_repeat(rule, work):
-    """Tell whether another attempt is safe and allowed at all.
+def may_retry(rule, work):
+    """Return whether another attempt is safe and allowed.
 
-    Load: a reclaim wave that takes one engine after the other. Harm: a long request
-    that moves each time is refused although it was no upstream's failure. Moves don't
-    count; each leaves its upstream for good, so that there are no more than upstreams.
+    A reclaim wave may take one engine after the other. If moves counted as attempts, a
+    long request would be refused although no upstream failed. Each move leaves its
+    upstream for good, so there are no more moves than upstreams.
     """
     safe = rule.not_run or work.idempotent
-    return rule.again and safe and work.attempts - work.moves < MAX_ATTEMPTS
+    return rule.retryable and safe and work.attempts - work.moves < MAX_ATTEMPTS
 
 
-def find_outcome(rule):
-    """Return what may be said about the request: not run, or unknown."""
+def get_outcome(rule):
+    """Return the outcome to report for the request: not run, or unknown."""
     return NOT_RUN if rule.not_run else UNKNOWN
 
 
-def refuse_repeat(rule, work, upstream, retry_after):
-    """Return the failure for an attempt that isn't repeated."""
+def refuse_retry(rule, work, upstream, retry_after):
+    """Return the error for an attempt that isn't retried."""
     if rule.not_run:
         detail = f"upstream {upstream} and those that share its limit are full"
         scope = Scope("pool", work.pool)
         return PoolFull(detail, scope=scope, retry_after=retry_after)
-    detail = f"upstream {upstream} broke off and the request isn't repeated"
+    detail = f"upstream {upstream} failed and the request isn't retried"
     scope = Scope("upstream", upstream)
     return UpstreamFailed(detail, scope=scope, retry_after=retry_after)
 
 
-def refuse_spent(rule, work, retry_after):
-    """Return the failure for a customer or pool whose retry budget is spent."""
+def refuse_over_budget(rule, work, retry_after):
+    """Return the error for a customer or pool without retry budget."""
     if rule.not_run:
         detail = f"the retry budget for pool {work.pool} is spent"
         scope = Scope("pool", work.pool)
@@ -93,14 +106,14 @@
     detail = f"the retry budget of customer {work.customer} is spent"
     scope = Scope("customer", work.customer)
     return CustomerLimit(
-        detail, scope=scope, retry_after=retry_after, outcome=find_outcome(rule)
+        detail, scope=scope, retry_after=retry_after, outcome=get_outcome(rule)
     )
 
 
-def refuse_late(rule, work, retry_after):
-    """Return the failure for work whose deadline leaves no time to try again."""
+def refuse_too_late(rule, work, retry_after):
+    """Return the error for work whose deadline leaves no time for a retry."""
     detail = "no time is left for another attempt"
     scope = Scope("pool", work.pool)
     return DeadlinePassed(
-        detail, scope=scope, retry_after=retry_after, outcome=find_outcome(rule)
+        detail, scope=scope, retry_after=retry_after, outcome=get_outcome(rule)
     )
--- a/src/chervilwing/upstreams.py
+++ b/src/chervilwing/upstreams.py
@@ -1,4 +1,4 @@
-"""What one entry instance knows about one upstream."""
+"""The state of one upstream, as one entry instance knows it."""
 
 from collections import deque
 from math import exp
@@ -7,129 +7,142 @@
 from .limits import Limit
 from .work import Work
 
-# A report may miss requests that were on the wire when it was made.
-TRANSIT = 0.05
-# The others' part of the load is averaged over this many seconds, over fewer where
-# work lasts longer. Work that is shorter than the time between reports makes single
-# reports mere noise, on which every entry instance would act at the same moment.
-SMOOTHING = 2.5
-# Part of our own net starts since the last report that each other entry instance
-# is taken to have made as well: in a burst all of them, in calm hardly any.
-ALIKE = 0.3
-# Own starts and ends are kept for so long when no report comes.
-LONGEST_SILENCE = 5.0
-# A busy answer holds new work back for this long at first, then twice as long.
-FIRST_PAUSE = 0.1
-LONGEST_PAUSE = 2.0
-
-
-class Running(NamedTuple):
-    """One attempt in flight."""
+# Requests sent less than this many seconds before a report may have been in transit and
+# not be included in it.
+TRANSIT_SECONDS = 0.05
+# Seconds over which the load of the other entry instances is averaged; shorter if work
+# lasts longer. If work is shorter than the report interval, single reports are noise,
+# to which all entry instances would react at the same moment.
+SMOOTHING_SECONDS = 2.5
+# Part of this instance's net starts since the last report that each other entry
+# instance is assumed to have made too. In bursts that is all of them, otherwise hardly
+# any.
+CORRELATED_PART = 0.3
+# Seconds for which own starts and ends are kept if no report arrives.
+MAX_CHANGE_AGE = 5.0
+# Seconds without new work after a first busy answer, doubled up to the maximum.
+INITIAL_PAUSE = 0.1
+MAX_PAUSE = 2.0
+
+
+class RunningAttempt(NamedTuple):
+    """An attempt in flight.
+
+    ``cached`` is the number of prompt tokens assumed to be in the upstream's cache;
+    ``non_urgent`` is set unless the work is short and of the most urgent band.
+    """
 
     work: Work
     band: int
     cost: float
     cached: int
-    yielding: bool
+    non_urgent: bool
     started: float
 
 
 class UpstreamState:
-    """One upstream: reported load, own attempts since then, limit and condition."""
+    """The reported load, own attempts, concurrency limit and health of one upstream."""
 
-    def __init__(self, upstream, entries=1):
+    def __init__(self, upstream, entry_count=1):
         self.upstream = upstream
         self.slots = upstream.slots
-        self.entries = entries
-        self.usual = 0.0
+        self.entry_count = entry_count
+        self.typical_seconds = 0.0
         self.limit = Limit(upstream.slots)
         self.running = {}
         self.leaving = False
-        # None for an engine that doesn't say; it serves every model.
+        # None for an engine that doesn't report its models and so serves all of them.
         self.models = None
         self.down_since = None
         self.paused_until = 0.0
         self.load = 0
-        self._pause = FIRST_PAUSE
-        self._others = None
-        self._as_of = 0.0
+        self._pause = INITIAL_PAUSE
+        self._others_load = None
+        self._reported_at = 0.0
         self._changes = deque()
-        self._net = 0
+        self._net_starts = 0
 
     def is_live(self):
-        """Tell whether new work may go here at all."""
+        """Return whether the upstream accepts new work."""
         return not self.leaving and self.down_since is None
 
-    def has_room(self, reserve, over=0):
-        """Tell whether one more request fits.
+    def has_room(self, reserved, overcommit=0):
+        """Return whether one more request fits.
 
-        Load: bursts, while reports lag by a second. Harm prevented: work that
-        waits in an engine can't be moved, reordered or refused any more.
+        Load reports lag by a second. In a burst, work sent beyond the slots would wait
+        in the engine, where it can no longer be moved, reordered or refused. So at most
+        ``overcommit`` requests are sent beyond the slots, and ``reserved`` slots are
+        left free.
         """
         if len(self.running) >= int(self.limit.value):
             return False
-        return self.load < self.slots - reserve + over
+        return self.load < self.slots - reserved + overcommit
 
     def report(self, load, slots, as_of):
-        """Take in a load report; an older one than the last is dropped."""
-        if self._others is not None and as_of <= self._as_of:
+        """Apply a load report unless a newer one was already applied."""
+        if self._others_load is not None and as_of <= self._reported_at:
             return
         self.slots = slots or self.slots
         if self.down_since is not None and as_of > self.down_since:
             self.down_since = None
-        self._forget(as_of - TRANSIT)
-        self._average(max(0.0, load - len(self.running) + self._net), as_of)
-        self._correct()
+        self._drop_changes(as_of - TRANSIT_SECONDS)
+        self._smooth_others(
+            max(0.0, load - len(self.running) + self._net_starts), as_of
+        )
+        self._update_load()
 
-    def start(self, running, now):
-        """Count one more attempt."""
-        self.running[running.work.request_id] = running
-        self._change(now, 1)
+    def start(self, attempt, now):
+        """Record the start of an attempt."""
+        self.running[attempt.work.request_id] = attempt
+        self._record_change(now, 1)
 
     def end(self, request_id, now):
-        """Count one attempt less and return it, or None when it isn't here."""
-        running = self.running.pop(request_id, None)
-        if running is None:
+        """Remove an attempt and return it, or None if it isn't running here."""
+        attempt = self.running.pop(request_id, None)
+        if attempt is None:
             return None
-        self._change(now, -1)
-        return running
+        self._record_change(now, -1)
+        return attempt
 
     def pause(self, now):
-        """Hold new work back after a busy answer, each time for longer."""
+        """Pause new work after a busy answer; return the end of the pause."""
         self.paused_until = now + self._pause
-        self._pause = min(LONGEST_PAUSE, self._pause * 2)
+        self._pause = min(MAX_PAUSE, self._pause * 2)
         return self.paused_until
 
-    def settle(self):
-        """Forget earlier busy answers after an answer that came whole."""
-        self._pause = FIRST_PAUSE
+    def reset_pause(self):
+        """Reset the pause after a complete answer."""
+        self._pause = INITIAL_PAUSE
 
-    def _change(self, now, step):
-        self._changes.append((now, step))
-        self._net += step
-        self._forget(now - LONGEST_SILENCE)
-        self._correct()
+    def _record_change(self, now, delta):
+        self._changes.append((now, delta))
+        self._net_starts += delta
+        self._drop_changes(now - MAX_CHANGE_AGE)
+        self._update_load()
 
-    def _forget(self, until):
-        """Drop the starts and ends that the last report had seen."""
+    def _drop_changes(self, until):
+        """Drop the starts and ends that the last report included."""
         while self._changes and self._changes[0][0] <= until:
-            self._net -= self._changes.popleft()[1]
+            self._net_starts -= self._changes.popleft()[1]
 
-    def _average(self, others, as_of):
-        if self._others is None:
-            self._others = others
+    def _smooth_others(self, others_load, as_of):
+        if self._others_load is None:
+            self._others_load = others_load
         else:
-            smoothing = SMOOTHING / (1.0 + self.usual)
-            weight = 1.0 - exp((self._as_of - as_of) / smoothing)
-            self._others += weight * (others - self._others)
-        self._as_of = as_of
-
-    def _correct(self):
-        """Set the load to our own attempts now and the others' by report.
-
-        Load: many entry instances and reports a second old. Harm prevented: all of
-        them send to what was the idlest upstream a second ago. What we added since
-        the report, the others, who see the same, are taken to have added in part.
+            smoothing = SMOOTHING_SECONDS / (1.0 + self.typical_seconds)
+            weight = 1.0 - exp((self._reported_at - as_of) / smoothing)
+            self._others_load += weight * (others_load - self._others_load)
+        self._reported_at = as_of
+
+    def _update_load(self):
+        """Set the load: own attempts plus the reported load of other instances.
+
+        Many entry instances see reports that are a second old, and all would send to
+        the upstream that was least loaded then. The other instances see the same
+        reports, so a part of this instance's net starts since the report is assumed for
+        each of them as well.
         """
-        alike = ALIKE * (self.entries - 1) * max(0, self._net)
-        self.load = len(self.running) + (self._others or 0.0) + alike
+        assumed_others = (
+            CORRELATED_PART * (self.entry_count - 1) * max(0, self._net_starts)
+        )
+        self.load = len(self.running) + (self._others_load or 0.0) + assumed_others
--- a/tests/test_assignments.py
+++ b/tests/test_assignments.py
@@ -21,7 +21,7 @@
     Share,
     Upstream,
 )
-from tests.test_placement import choose, make_state, make_work
+from tests.test_placement import choose_upstream, make_state, make_work
 
 WANTED = ("big", "small")
 
@@ -97,31 +97,31 @@
 
 
 class TestPlacingByModel(unittest.TestCase):
-    def choose(self, state, count, model="new"):
+    def choose_upstream(self, state, count, model="new"):
         """Return who gets a number of requests for a model."""
         rng = Random(1)
         works = [make_work(n)._replace(model=model) for n in range(count)]
-        return [choose(state, work, rng) for work in works]
+        return [choose_upstream(state, work, rng) for work in works]
 
     def test_engine_that_has_not_loaded_a_version_gets_none_of_it(self):
         # A caller asks for a version that one engine of twenty has loaded so far: the
         # others answer that they can't, and retries use up the caller's budget.
         state = make_state(20)
-        for name in state.states:
+        for name in state.upstream_states:
             state.set_models(name, frozenset({"memo"}))
         state.set_models("u7", frozenset({"memo", "new"}))
-        self.assertEqual(self.choose(state, 9), ["u7"] * 8 + [None])
-        self.assertTrue(state.is_bound(make_work(1)._replace(model="new")))
-        self.assertGreater(len(set(self.choose(state, 20, "memo"))), 8)
+        self.assertEqual(self.choose_upstream(state, 9), ["u7"] * 8 + [None])
+        self.assertTrue(state.is_restricted(make_work(1)._replace(model="new")))
+        self.assertGreater(len(set(self.choose_upstream(state, 20, "memo"))), 8)
 
     def test_engine_that_does_not_say_serves_all_and_none_is_no_bar(self):
         state = make_state(4, ("a", "b"))
         for name in ("u0", "u1", "u2"):
             state.set_models(name, frozenset({"memo"}))
-        self.assertEqual(set(self.choose(state, 8)), {"u3"})
+        self.assertEqual(set(self.choose_upstream(state, 8)), {"u3"})
         state.set_models("u3", frozenset())
-        self.assertEqual(set(self.choose(state, 8)), {"u0", "u2"})
+        self.assertEqual(set(self.choose_upstream(state, 8)), {"u0", "u2"})
         state.set_models("u1", frozenset({"new"}))
-        state.states["u1"].leaving = True
+        state.upstream_states["u1"].leaving = True
         state.refresh("u1")
-        self.assertFalse(state.is_bound(make_work(1)._replace(model="new")))
+        self.assertFalse(state.is_restricted(make_work(1)._replace(model="new")))
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Tests of the scheduler: what a caller gets, and when."""
+"""Tests of the scheduler: what callers receive, and when."""
 
 import unittest
 from random import Random
@@ -31,7 +31,7 @@
 
 
 def make_configuration(size=2, slots=4, queue_limit=64):
-    """Return a configuration of one model pool and one customer with a limit."""
+    """Return a configuration of one model pool and one customer with a queue limit."""
     upstreams = tuple(
         Upstream(f"u{n}", MODEL, "pool", Address("127.0.0.1", 1), "a", slots=slots)
         for n in range(size)
@@ -42,20 +42,20 @@
 
 
 def make_scheduler(**sizes):
-    """Return a scheduler that is the only entry instance."""
+    """Return a scheduler as the only entry instance."""
     scheduler = Scheduler(SchedulingSettings("a", 1), Random(1))
     scheduler.configure(make_configuration(**sizes))
     return scheduler
 
 
 def make_work(number, deadline=60.0, **fields):
-    """Return one memo of a hundred tokens."""
+    """Return one request of class memo with up to 100 tokens."""
     work = Work(str(number), "org", "memo", "pool", deadline, max_tokens=100)
     return work._replace(**fields)
 
 
-def warm(scheduler, seconds=5.0):
-    """Teach the scheduler how long its work takes."""
+def run_requests(scheduler, seconds=5.0):
+    """Run 20 requests so that the scheduler learns the service time."""
     for number in range(20):
         scheduler.offer(make_work(f"w{number}"), 0.0)
         for placed in scheduler.dispatch(0.0):
@@ -64,32 +64,32 @@
             )
 
 
-def fill(scheduler, count, now=0.0, **fields):
-    """Offer so many requests and return the placements and the refusals."""
+def offer_requests(scheduler, count, now=0.0, **fields):
+    """Offer ``count`` requests; return the placements and the refusals."""
     refusals = [scheduler.offer(make_work(n, **fields), now) for n in range(count)]
     return scheduler.dispatch(now), [refusal for refusal in refusals if refusal]
 
 
 class TestAdmission(unittest.TestCase):
-    def test_what_cannot_meet_its_deadline_is_refused_at_the_door(self):
+    def test_work_that_cannot_meet_its_deadline_is_refused_on_arrival(self):
         scheduler = make_scheduler()
-        warm(scheduler)
-        fill(scheduler, 8)
+        run_requests(scheduler)
+        offer_requests(scheduler, 8)
         refusal = scheduler.offer(make_work("late", deadline=4.0), 0.0)
         self.assertIsInstance(refusal.exc, PoolFull)
         self.assertEqual(refusal.exc.scope, ("pool", "pool"))
         self.assertEqual(refusal.exc.outcome, NOT_RUN)
 
-    def test_a_full_customer_queue_names_the_customer(self):
+    def test_full_customer_queue_is_refused_with_the_customer_as_scope(self):
         scheduler = make_scheduler(queue_limit=3)
-        fill(scheduler, 8)
-        _, refusals = fill(scheduler, 4)
+        offer_requests(scheduler, 8)
+        _, refusals = offer_requests(scheduler, 4)
         self.assertIsInstance(refusals[0].exc, CustomerLimit)
         self.assertEqual(refusals[0].exc.scope, ("customer", "org"))
 
-    def test_an_idle_pool_takes_work_whatever_the_estimate_says(self):
+    def test_idle_pool_accepts_work_whatever_the_estimate(self):
         scheduler = make_scheduler()
-        warm(scheduler, seconds=500.0)
+        run_requests(scheduler, seconds=500.0)
         self.assertIsNone(scheduler.offer(make_work("probe", deadline=20.0), 0.0))
 
     def test_without_upstreams_work_is_refused_at_once(self):
@@ -100,34 +100,34 @@
         scheduler.report_load("u1", 0, 0, 4, 1.0, 1.0)
         self.assertIsNone(scheduler.offer(make_work(2), 1.0))
 
-    def test_refusals_are_graded_and_spread(self):
-        """A pool is offered five times its capacity, then a little too much.
+    def test_retry_after_grows_with_load_and_is_randomised(self):
+        """A pool is offered a little over its capacity, then many times as much.
 
-        With one constant all callers would leave and come back together, and the
-        pool would swing between idle and swamped.
+        With one constant Retry-After, all callers would leave and return together, and
+        the pool would alternate between idle and overloaded.
         """
-        means = []
-        for offered in (12, 200):
+        mean_retry_after = []
+        for request_count in (12, 200):
             scheduler = make_scheduler(queue_limit=10_000)
-            warm(scheduler)
-            fill(scheduler, 8)
-            _, refusals = fill(scheduler, offered, deadline=10.0)
-            after = [refusal.exc.retry_after for refusal in refusals]
-            self.assertGreater(len(set(after)), len(after) // 2)
-            means.append(sum(after) / len(after))
-        self.assertGreater(means[1], 2 * means[0])
+            run_requests(scheduler)
+            offer_requests(scheduler, 8)
+            _, refusals = offer_requests(scheduler, request_count, deadline=10.0)
+            retry_after = [refusal.exc.retry_after for refusal in refusals]
+            self.assertGreater(len(set(retry_after)), len(retry_after) // 2)
+            mean_retry_after.append(sum(retry_after) / len(retry_after))
+        self.assertGreater(mean_retry_after[1], 2 * mean_retry_after[0])
 
 
-class TestGivingUp(unittest.TestCase):
-    def test_hopeless_work_is_answered_when_it_becomes_hopeless(self):
-        """All slots are held by requests that never end, and one more waits.
+class TestExpiry(unittest.TestCase):
+    def test_work_is_refused_once_its_deadline_is_out_of_reach(self):
+        """Requests that never end hold all slots, and one more request waits.
 
-        It needs five seconds and has sixty. It must hear the answer when five are
-        left, not at its deadline, and only once.
+        It needs 5 s and has 60 s left. It must be refused once, when 5 s are left, and
+        not only at its deadline.
         """
         scheduler = make_scheduler()
-        warm(scheduler)
-        fill(scheduler, 8)
+        run_requests(scheduler)
+        offer_requests(scheduler, 8)
         self.assertIsNone(scheduler.offer(make_work("waits"), 0.0))
         due = scheduler.next_wakeup(0.0)
         self.assertAlmostEqual(due, 55.0, delta=1.0)
@@ -137,15 +137,15 @@
         self.assertEqual(refusal.exc.outcome, NOT_RUN)
         self.assertEqual(scheduler.expire(due + 50), ())
 
-    def test_lost_capacity_is_told_at_once_and_batch_goes_first(self):
-        """Sixteen requests run, eight memos and eight batch requests wait.
+    def test_lost_capacity_refuses_batch_work_first_and_at_once(self):
+        """Sixteen requests run; eight memos and eight batch requests wait.
 
-        Three of four upstreams are reclaimed. The memos can still be answered in
-        time; the batch requests that can't must hear it now, not in 20 s.
+        Three of four upstreams are reclaimed. The memos can still be answered in time.
+        The batch requests that can't must be refused now, not 20 s later.
         """
         scheduler = make_scheduler(size=4)
-        warm(scheduler)
-        fill(scheduler, 16)
+        run_requests(scheduler)
+        offer_requests(scheduler, 16)
         for n in range(8):
             memo = make_work(f"m{n}", deadline=125.0)
             batch = make_work(f"b{n}", deadline=125.0, work_class="batch")
@@ -153,10 +153,10 @@
             self.assertIsNone(scheduler.offer(batch, 100.0))
         for name in ("u0", "u1", "u2"):
             scheduler.mark_leaving(name, 100.0)
-        gone = [refusal.request_id[0] for refusal in scheduler.expire(100.0)]
-        self.assertEqual(gone.count("m"), 0)
-        self.assertGreater(gone.count("b"), 0)
-        self.assertLess(gone.count("b"), 8)
+        refused = [refusal.request_id[0] for refusal in scheduler.expire(100.0)]
+        self.assertEqual(refused.count("m"), 0)
+        self.assertGreater(refused.count("b"), 0)
+        self.assertLess(refused.count("b"), 8)
 
     def test_withdrawn_work_is_neither_placed_nor_refused(self):
         scheduler = make_scheduler()
@@ -168,47 +168,47 @@
 
 
 class TestRetry(unittest.TestCase):
-    def start(self, **fields):
-        """Return a scheduler and the work and upstream of one attempt."""
+    def start_attempt(self, **fields):
+        """Return a scheduler and the work and upstream of one running attempt."""
         scheduler = make_scheduler()
         work = make_work("one", **fields)
         scheduler.offer(work, 0.0)
         (placed,) = scheduler.dispatch(0.0)
         return scheduler, work, placed.upstream
 
-    def fail(self, scheduler, work, upstream, outcome):
-        """End the attempt so and ask for another one."""
+    def fail_attempt(self, scheduler, work, upstream, outcome):
+        """End the attempt with ``outcome`` and request a retry."""
         scheduler.finish("one", upstream, outcome, 0.1, 0.1, 0, 0.0)
         return scheduler.retry(work, upstream, outcome, 0.0)
 
-    def test_a_broken_attempt_goes_to_another_upstream(self):
-        scheduler, work, upstream = self.start()
-        self.assertIsNone(self.fail(scheduler, work, upstream, FAILED))
+    def test_failed_attempt_is_retried_on_another_upstream(self):
+        scheduler, work, upstream = self.start_attempt()
+        self.assertIsNone(self.fail_attempt(scheduler, work, upstream, FAILED))
         (placed,) = scheduler.dispatch(0.0)
         self.assertNotEqual(placed.upstream, upstream)
 
-    def test_work_that_must_not_be_repeated_is_told_unknown(self):
-        scheduler, work, upstream = self.start(idempotent=False)
-        refusal = self.fail(scheduler, work, upstream, FAILED)
+    def test_non_idempotent_work_is_not_retried_and_its_outcome_is_unknown(self):
+        scheduler, work, upstream = self.start_attempt(idempotent=False)
+        refusal = self.fail_attempt(scheduler, work, upstream, FAILED)
         self.assertIsInstance(refusal.exc, UpstreamFailed)
         self.assertEqual(refusal.exc.outcome, UNKNOWN)
         self.assertEqual(refusal.exc.scope, ("upstream", upstream))
 
-    def test_not_started_work_is_tried_again_even_if_not_idempotent(self):
-        scheduler, work, upstream = self.start(idempotent=False)
-        self.assertIsNone(self.fail(scheduler, work, upstream, BUSY))
+    def test_not_started_work_is_retried_even_if_not_idempotent(self):
+        scheduler, work, upstream = self.start_attempt(idempotent=False)
+        self.assertIsNone(self.fail_attempt(scheduler, work, upstream, BUSY))
 
-    def test_siblings_that_share_the_exhausted_resource_are_not_asked(self):
-        scheduler, work, upstream = self.start()
-        refusal = self.fail(scheduler, work, upstream, EXHAUSTED)
+    def test_siblings_that_share_the_exhausted_resource_are_not_tried(self):
+        scheduler, work, upstream = self.start_attempt()
+        refusal = self.fail_attempt(scheduler, work, upstream, EXHAUSTED)
         self.assertIsInstance(refusal.exc, PoolFull)
         self.assertEqual(refusal.exc.outcome, NOT_RUN)
         self.assertEqual(scheduler.dispatch(0.0), ())
 
     def test_retry_budgets_bound_attempts(self):
-        """Every attempt of a whole pool fails for a long time.
+        """Every attempt in a pool fails for a long time.
 
-        With two retries each, 1,000 requests would make 3,000 attempts.
+        With two retries each, 1,000 requests would cause 3,000 attempts.
         """
         scheduler = make_scheduler(slots=64)
         attempts = 0
@@ -221,13 +221,13 @@
                 name = placed.upstream
                 scheduler.finish(work.request_id, name, FAILED, 0, 0.1, 0, 0.0)
                 if scheduler.retry(work, name, FAILED, 0.0) is None:
-                    again = work._replace(attempts=work.attempts + 1)
-                    queue = [(again, item) for item in scheduler.dispatch(0.0)]
+                    retried = work._replace(attempts=work.attempts + 1)
+                    queue = [(retried, item) for item in scheduler.dispatch(0.0)]
         self.assertLess(attempts, 1100)
 
     def test_moves_from_a_leaving_upstream_need_no_budget(self):
         scheduler = make_scheduler(size=4, slots=64)
-        placements, _ = fill(scheduler, 60)
+        placements, _ = offer_requests(scheduler, 60)
         moved = [placed for placed in placements if placed.upstream == "u0"]
         scheduler.mark_leaving("u0", 0.0)
         for placed in moved:
@@ -235,27 +235,28 @@
             scheduler.finish(name, "u0", LEAVING, 0.1, 1.0, 10, 0.0)
             work = make_work(name, tokens=10)
             self.assertIsNone(scheduler.retry(work, "u0", LEAVING, 0.0))
-        again = scheduler.dispatch(0.0)
-        self.assertEqual(len(again), len(moved))
-        self.assertNotIn("u0", {placed.upstream for placed in again})
+        new_placements = scheduler.dispatch(0.0)
+        self.assertEqual(len(new_placements), len(moved))
+        self.assertNotIn("u0", {placed.upstream for placed in new_placements})
 
 
 class TestReclaim(unittest.TestCase):
-    def test_a_leaving_upstream_gets_nothing_although_the_list_lags(self):
+    def test_leaving_upstream_gets_no_work_although_the_list_lags(self):
         scheduler = make_scheduler()
         scheduler.mark_leaving("u0", 0.0)
         scheduler.update_upstreams(make_configuration().inventory.upstreams)
-        placements, _ = fill(scheduler, 8)
+        placements, _ = offer_requests(scheduler, 8)
         self.assertEqual({placed.upstream for placed in placements}, {"u1"})
 
-    def test_moves_are_urgent_first_and_paced_by_room(self):
-        """A zone gets notice while its survivor has two slots left.
+    def test_urgent_work_moves_first_and_free_slots_limit_the_moves(self):
+        """A zone receives notice while its surviving upstream has two free slots.
 
-        Moving all at once would flood the survivor with work that could still run
-        where it is. Memos move before batch work; just before the end all move.
+        Moving all its work at once would overload the survivor, although the work can
+        still run where it is. Memos move before batch work; just before the end, all of
+        it moves.
         """
         scheduler = make_scheduler(size=2, slots=5)
-        warm(scheduler, seconds=30.0)
+        run_requests(scheduler, seconds=30.0)
         scheduler.mark_down("u1", 100.0)
         for n, name in enumerate(("batch", "memo", "batch", "memo")):
             scheduler.offer(make_work(n, 160.0, work_class=name), 100.0)
@@ -266,11 +267,11 @@
         self.assertEqual(len(scheduler.shift("u0", 111.0, 110.5)), 4)
         self.assertEqual(scheduler.shift("u0", 300.0, 101.0), ())
 
-    def test_what_should_have_ended_by_now_moves_before_the_end(self):
-        """An engine writes a plan more slowly than the pool's pace foretells.
+    def test_work_slower_than_estimated_moves_before_its_upstream_ends(self):
+        """An engine runs a long plan more slowly than the estimate.
 
-        By the estimate the plan ends before the engine does, so it was never moved,
-        and the engine was taken away with the plan half written.
+        By the estimate, the plan ends before the engine is reclaimed, so it was never
+        moved, and the engine went away with the plan half finished.
         """
         scheduler = make_scheduler()
         scheduler.offer(make_work("plan"), 0.0)
@@ -279,11 +280,11 @@
         self.assertEqual(scheduler.shift(placed.upstream, 30.0, 10.0), ())
         self.assertEqual(scheduler.shift(placed.upstream, 30.0, 29.0), ("plan",))
 
-    def test_a_reclaim_wave_uses_up_no_attempts(self):
-        """A wave takes five engines one after the other, with notice each time.
+    def test_moves_in_a_reclaim_wave_do_not_count_as_attempts(self):
+        """A wave reclaims five engines one after the other, each with notice.
 
-        A long plan moves each time. Counted like failures, the moves used up its
-        attempts, and the plan was lost with engines left that could write it.
+        A long plan moves each time. When the moves counted as attempts, the plan was
+        refused although other engines could run it.
         """
         scheduler = make_scheduler(size=7)
         scheduler.offer(make_work("plan"), 0.0)
@@ -294,5 +295,5 @@
             refusal = scheduler.retry(work, placed.upstream, outcome, 0.0)
             self.assertIsNone(refusal, (outcome, work.attempts))
             work = retries.count_attempt(retries.RULES[outcome], work, placed.upstream)
-        self.assertFalse(retries.may_repeat(retries.RULES[FAILED], work._replace(
+        self.assertFalse(retries.may_retry(retries.RULES[FAILED], work._replace(
             attempts=work.moves + retries.MAX_ATTEMPTS)))  # fmt: skip
--- a/tests/weakened.py
+++ b/tests/weakened.py
@@ -51,7 +51,7 @@
 )
 HOLDER = "tests.test_orders.TestHolder.test_"
 SPREAD = "tests.test_membership.TestSpread.test_"
-NO_MORE_TRIES = "FAILED: RetryRule(not_run=False, again=False"
+NO_MORE_TRIES = "FAILED: RetryRule(not_run=False, retryable=False"
 LIVE = "tests.test_live.Test"
 LEDGER = "tests.test_claims.TestLedger.test_"
 EDITS = "tests.test_edits.TestLostAnswers.test_"
@@ -312,7 +312,7 @@
     ),
 )
 NO_RETRY = (
-    Edit("retries", "FAILED: RetryRule(not_run=False, again=True", NO_MORE_TRIES),
+    Edit("retries", "FAILED: RetryRule(not_run=False, retryable=True", NO_MORE_TRIES),
 )
 
 # On real processes, tests/scenarios/live: minutes, so not part of the test suite.
