--- a/src/chervilwing/assignments.py
+++ b/src/chervilwing/assignments.py
@@ -1,7 +1,7 @@
-"""Which models the engines of one pool and data centre should have loaded.
+"""Choose which models the engines of one pool and data centre should load.
 
-Every engine gets every model that its pool lists: the inventory says nothing of an
-engine's memory, and any engine can then stand in for any other.
+Every engine gets every model of its pool: the inventory doesn't give an engine's
+memory, and this way any engine can replace any other.
 """
 
 from collections import Counter
@@ -12,136 +12,149 @@
 
 LOAD = "load"
 UNLOAD = "unload"
-# Load: a release that drops a version. Harm: an entry instance that still has the old
-# revision sends a request for what is gone. A revision is in force everywhere within
-# 16 s (letter 1), so nothing is unloaded before.
-UNLOAD_AFTER = 16.0
-# Load: engines that take a load and never show it. Harm: they keep the few loads that
-# may run at once from all others. The largest weights are read well within this time.
-LOAD_LIMIT = 300.0
-# Load: an engine without memory for a model. Harm: an order each second for ever.
-REFUSED_PAUSE = 30.0
+# Seconds after a new revision before models are unloaded. Until an entry instance has
+# the new revision, it sends requests for a model that the release drops. A revision is
+# in force everywhere within 16 s.
+UNLOAD_DELAY = 16.0
+# Seconds after which a load order counts as failed. Engines that accept a load and
+# never report it would otherwise use up the few loads that may run at once. The largest
+# weights are read well within this time.
+LOAD_TIMEOUT = 300.0
+# Seconds before a refused order is sent again; an engine without enough memory for a
+# model would otherwise be sent an order each second.
+REFUSED_BACKOFF = 30.0
 
 
 class Engine(NamedTuple):
-    """An engine that takes new work, and the models that it says it has."""
+    """An engine that accepts new work, and the models that it reports as loaded."""
 
     upstream: Upstream
     models: frozenset
 
 
-class Given(NamedTuple):
-    """An order under way: its id, what it orders, and when it was given."""
+class PendingOrder(NamedTuple):
+    """An order that was sent and isn't complete; ``sent_at`` is in seconds."""
 
     order_id: str
     order: Order
-    at: float
+    sent_at: float
 
 
 def list_wanted(configuration):
-    """Return the models of each pool that lists any, those with most traffic first."""
-    parts = Counter()
+    """Return the models of each pool that lists any, by descending traffic share."""
+    traffic = Counter()
     for route in configuration.rules.routes:
         for share in route.shares:
-            parts[route.pool, share.version] += share.part
+            traffic[route.pool, share.version] += share.part
         if not route.shares:
-            parts[route.pool, route.name] += 1.0
+            traffic[route.pool, route.name] += 1.0
     return {
         pool.name: tuple(
-            sorted(pool.models, key=lambda model: -parts[pool.name, model])
+            sorted(pool.models, key=lambda model: -traffic[pool.name, model])
         )
         for pool in configuration.inventory.pools
         if pool.kind == MODEL and pool.models
     }
 
 
-def share_room(limit, pools):
-    """Return how many loads each pool of the data centre may have running."""
-    # Holders of different pools don't talk; equal parts keep their sum within the
-    # limit, unless there are more pools than loads: then each has one.
+def split_load_limit(limit, pools):
+    """Return how many loads each pool of the data centre may run at once."""
+    # The holders of different pools don't communicate. Equal parts keep the sum of
+    # their loads within the limit, unless there are more pools than loads: then each
+    # pool has one.
     return max(1, limit // max(1, pools))
 
 
-def list_loads(wanted, engines, busy, room):
-    """Return the loads to give now, the model with the fewest copies first.
+def list_loads(wanted, engines, busy, max_loads):
+    """Return the load orders to send now, the model with the fewest copies first.
 
-    Load: a new version, or an empty replacement for a zone. Harm: the weight store's
-    rate is shared by all loads at once, so that none ends soon, and a model without
-    any copy waits behind the tenth copy of another. So few loads run at a time, one
-    an engine.
+    All concurrent loads share the weight store's bandwidth. After a new version, or
+    with empty replacements for a zone, none would finish soon if all ran at once, and a
+    model without a copy would wait behind the tenth copy of another. So at most
+    ``max_loads`` loads run at a time, one per engine. ``busy`` holds the pairs of
+    engine name and model with an order in progress or paused.
     """
     copies = Counter(model for engine in engines for model in engine.models)
     copies.update(model for _, model in busy)
-    rows = []
-    for place, model in enumerate(wanted):
-        lacking = [
+    candidates = []
+    for position, model in enumerate(wanted):
+        missing = [
             engine.upstream
             for engine in engines
             if model not in engine.models and (engine.upstream.name, model) not in busy
         ]
-        rows += [(copies[model] + i, place, up) for i, up in enumerate(lacking)]
-    taken = {name for name, _ in busy}
+        candidates += [
+            (copies[model] + i, position, upstream)
+            for i, upstream in enumerate(missing)
+        ]
+    busy_engines = {name for name, _ in busy}
     loads = []
-    for _, place, upstream in sorted(rows):
-        if len(loads) < room and upstream.name not in taken:
-            taken.add(upstream.name)
-            loads.append(Order(LOAD, upstream, wanted[place]))
+    for _, position, upstream in sorted(candidates):
+        if len(loads) < max_loads and upstream.name not in busy_engines:
+            busy_engines.add(upstream.name)
+            loads.append(Order(LOAD, upstream, wanted[position]))
     return loads
 
 
 def list_unloads(wanted, engines, busy):
-    """Return the unloads for engines that have all they should have."""
-    taken = {name for name, _ in busy}
+    """Return the unload orders for engines that have loaded all wanted models."""
+    busy_engines = {name for name, _ in busy}
     return [
         Order(UNLOAD, engine.upstream, model)
         for engine in engines
-        if engine.upstream.name not in taken and engine.models.issuperset(wanted)
+        if engine.upstream.name not in busy_engines and engine.models.issuperset(wanted)
         for model in sorted(engine.models.difference(wanted))
     ]
 
 
 class Rollout:
-    """The orders under way to the engines of one pool."""
+    """The orders in progress on the engines of one pool."""
 
     def __init__(self):
-        self._given = {}
+        self._pending = {}
         self._paused = {}
 
-    def plan(self, wanted, engines, room, may_unload, now):
-        """Return the orders to give now; ``note`` those that were given."""
+    def plan(self, wanted, engines, max_loads, may_unload, now):
+        """Return the orders to send now; call ``record_sent`` for each one sent."""
         paused = {key for key, until in self._paused.items() if now < until}
-        loading = [row for row in self._given.values() if row.order.operation == LOAD]
-        busy = paused | set(self._given)
-        orders = list_loads(wanted, engines, busy, max(0, room - len(loading)))
+        loading = [
+            pending
+            for pending in self._pending.values()
+            if pending.order.operation == LOAD
+        ]
+        busy = paused | set(self._pending)
+        orders = list_loads(wanted, engines, busy, max(0, max_loads - len(loading)))
         return orders + (list_unloads(wanted, engines, busy) if may_unload else [])
 
-    def note(self, order_id, order, now):
-        """Take note of an order that was given."""
-        self._given[order.upstream.name, order.model] = Given(order_id, order, now)
+    def record_sent(self, order_id, order, now):
+        """Record an order that was sent."""
+        self._pending[order.upstream.name, order.model] = PendingOrder(
+            order_id, order, now
+        )
 
-    def refuse(self, order_id, now):
-        """Let an order rest that the engine can't carry out."""
-        for key, given in list(self._given.items()):
-            if given.order_id == order_id:
-                del self._given[key]
-                self._paused[key] = now + REFUSED_PAUSE
+    def mark_refused(self, order_id, now):
+        """Pause an order that the engine couldn't carry out."""
+        for key, pending in list(self._pending.items()):
+            if pending.order_id == order_id:
+                del self._pending[key]
+                self._paused[key] = now + REFUSED_BACKOFF
 
-    def settle(self, engines, now):
-        """Return the ids of orders that need no more waiting for.
+    def pop_ended(self, engines, now):
+        """Remove the orders that have ended and return their ids.
 
-        They are carried out by the engine's own word, or their engine has gone, or
-        they took too long.
+        An order ends if its engine reports the result, the engine is gone, or
+        LOAD_TIMEOUT has passed.
         """
         models = {engine.upstream.name: engine.models for engine in engines}
         ids = []
-        for key, given in list(self._given.items()):
-            loaded = given.order.model in models.get(key[0], ())
-            done = loaded == (given.order.operation == LOAD)
-            if done or key[0] not in models or now - given.at > LOAD_LIMIT:
-                del self._given[key]
-                ids.append(given.order_id)
+        for key, pending in list(self._pending.items()):
+            loaded = pending.order.model in models.get(key[0], ())
+            done = loaded == (pending.order.operation == LOAD)
+            if done or key[0] not in models or now - pending.sent_at > LOAD_TIMEOUT:
+                del self._pending[key]
+                ids.append(pending.order_id)
         return ids
 
     def clear(self):
-        """Forget all orders: this instance gives none any more."""
-        self._given.clear()
+        """Forget all orders after this instance lost the lease."""
+        self._pending.clear()
--- a/src/chervilwing/orderer.py
+++ b/src/chervilwing/orderer.py
@@ -1,4 +1,4 @@
-"""Order engines to load and unload models, where this instance is the holder."""
+"""Order engines to load and unload models while this instance holds the lease."""
 
 import json
 import time
@@ -6,7 +6,7 @@
 
 from circuits.core import BaseComponent, handler
 
-from .assignments import UNLOAD_AFTER, Engine, Rollout, list_wanted, share_room
+from .assignments import UNLOAD_DELAY, Engine, Rollout, list_wanted, split_load_limit
 from .connections import Call
 from .logs import log_event
 from .messages import StoreCall
@@ -23,14 +23,14 @@
 from .stores import JSON_HEADERS, collect_json
 
 ORDERS_PATH = "/v1/orders"
-OK = 200
-OLD_FENCE = 409
-# Seconds between two looks at what the engines of the pools lack.
-PLAN_EVERY = 0.5
+STATUS_OK = 200
+STATUS_CONFLICT = 409
+# Seconds between checks of which models the engines lack.
+PLAN_INTERVAL = 0.5
 
 
 class Orderer(BaseComponent):
-    """Drive the holders of the pools of this data centre."""
+    """Run the lease holders and the model rollouts of the pools of this data centre."""
 
     channel = "orderer"
 
@@ -43,49 +43,52 @@
         self._members = [cfg.name]
         self._holders = {}
         self._rollouts = {}
-        self._wanted = {}
+        self._wanted_models = {}
         self._revision = 0
-        self._since = 0.0
-        self._plan_at = 0.0
-        self._open = set()
+        self._revision_since = 0.0
+        self._next_plan_at = 0.0
+        self._unanswered = set()
 
     def enlist(self, names):
-        """Take the live entry instances of this data centre."""
+        """Set the live entry instances of this data centre."""
         self._members = names
         for holder in self._holders.values():
             holder.enlist(names)
 
     def describe(self):
-        """Return the state of each holder by pool."""
+        """Return the state of each lease holder by pool."""
         return {pool: holder.state for pool, holder in self._holders.items()}
 
     @handler("tick", channel="*")
     def _on_tick(self):
-        # An instance that stops lets its leases lapse: the next holder waits them out.
+        # A stopping instance lets its leases expire; the next holder waits for that.
         if self._dispatch.configuration is None or self._dispatch.draining:
             return
         now = time.monotonic()
         for pool, holder in self._holders.items():
-            self._apply(pool, holder.tick(now))
-        if now >= self._plan_at:
-            self._plan_at = now + PLAN_EVERY
+            self._run_actions(pool, holder.tick(now))
+        if now >= self._next_plan_at:
+            self._next_plan_at = now + PLAN_INTERVAL
             self._plan(now)
 
     def _plan(self, now):
         configuration = self._dispatch.configuration
         if configuration.revision != self._revision:
-            self._revision, self._since = configuration.revision, now
-            self._wanted = list_wanted(configuration)
-        found = {pool: self._list_engines(pool) for pool in self._wanted}
-        engines = {pool: rows for pool, rows in found.items() if rows}
-        room = share_room(self._cfg.loads_at_once, len(engines))
-        for pool, rows in engines.items():
-            self._give_orders(pool, rows, room, now)
+            self._revision, self._revision_since = configuration.revision, now
+            self._wanted_models = list_wanted(configuration)
+        listed = {pool: self._list_engines(pool) for pool in self._wanted_models}
+        engines = {
+            pool: pool_engines for pool, pool_engines in listed.items() if pool_engines
+        }
+        max_loads = split_load_limit(self._cfg.loads_at_once, len(engines))
+        for pool, pool_engines in engines.items():
+            self._plan_pool(pool, pool_engines, max_loads, now)
 
     def _list_engines(self, pool):
-        """Return the engines here that say what they have loaded.
+        """Return the engines of this data centre that report their loaded models.
 
-        One that doesn't say serves every model, or is looked after by its operators.
+        An engine without a report serves every model, or its operators manage its
+        models.
         """
         return [
             Engine(upstream, models)
@@ -93,23 +96,23 @@
             if models is not None and upstream.data_centre == self._cfg.data_centre
         ]
 
-    def _give_orders(self, pool, engines, room, now):
-        holder, rollout = self._find(pool), self._rollouts[pool]
+    def _plan_pool(self, pool, engines, max_loads, now):
+        holder, rollout = self._find_holder(pool), self._rollouts[pool]
         if holder.state not in (SETTLING, HOLDING):
             rollout.clear()
             return
         if holder.state == SETTLING:
             engines = [engine for engine in engines if engine.upstream.fenced]
-        for order_id in rollout.settle(engines, now):
-            self._apply(pool, holder.finish(order_id))
-        may_unload = now - self._since > UNLOAD_AFTER
-        wanted = self._wanted[pool]
-        for order in rollout.plan(wanted, engines, room, may_unload, now):
+        for order_id in rollout.pop_ended(engines, now):
+            self._run_actions(pool, holder.finish(order_id))
+        may_unload = now - self._revision_since > UNLOAD_DELAY
+        wanted = self._wanted_models[pool]
+        for order in rollout.plan(wanted, engines, max_loads, may_unload, now):
             order_id = name_order(self._revision, order)
-            rollout.note(order_id, order, now)
-            self._apply(pool, holder.order(order_id, order, now))
+            rollout.record_sent(order_id, order, now)
+            self._run_actions(pool, holder.order(order_id, order, now))
 
-    def _find(self, pool):
+    def _find_holder(self, pool):
         if pool not in self._holders:
             cfg = self._cfg
             holder = Holder(OrderSettings(), cfg.name, cfg.data_centre, pool)
@@ -118,23 +121,23 @@
             self._rollouts[pool] = Rollout()
         return self._holders[pool]
 
-    def _apply(self, pool, actions):
+    def _run_actions(self, pool, actions):
         for action in actions:
-            APPLIERS[type(action)](self, pool, action)
+            ACTION_HANDLERS[type(action)](self, pool, action)
 
-    def _call(self, pool, action):
-        self._store.carry(action, partial(self._received, pool))
+    def _call_store(self, pool, action):
+        self._store.carry(action, partial(self._on_store_reply, pool))
 
-    def _received(self, pool, token, reply):
+    def _on_store_reply(self, pool, token, reply):
         holder = self._holders[pool]
-        self._apply(pool, holder.receive(token, reply, time.monotonic()))
+        self._run_actions(pool, holder.receive(token, reply, time.monotonic()))
 
-    def _send(self, pool, action):
-        # An engine may answer only once the weights are read; asked again meanwhile,
-        # it would hold one more connection each second.
-        if action.order_id in self._open:
+    def _send_order(self, pool, action):
+        # An engine may answer only after it has read the weights. Sending the order
+        # again meanwhile would open one more connection each second.
+        if action.order_id in self._unanswered:
             return
-        self._open.add(action.order_id)
+        self._unanswered.add(action.order_id)
         order = action.order
         body = {"op": order.operation, "model": order.model, "adapter": order.adapter}
         body |= {"version": order.version, "role": order.role}
@@ -150,30 +153,30 @@
             silence_timeout=self._cfg.request_timeout,
             send_before=action.send_before,
         )
-        answered = partial(self._answered, pool, action.order_id)
-        self._client.submit(call, collect_json(answered))
+        on_answer = partial(self._on_engine_answer, pool, action.order_id)
+        self._client.submit(call, collect_json(on_answer))
 
-    def _answered(self, pool, order_id, status, value):
-        self._open.discard(order_id)
+    def _on_engine_answer(self, pool, order_id, status, value):
+        self._unanswered.discard(order_id)
         holder = self._holders[pool]
-        if status == OK:
-            self._apply(pool, holder.finish(order_id))
-        elif status == OLD_FENCE and isinstance(value, dict) and "fence" in value:
-            self._apply(pool, holder.finish(order_id, value["fence"]))
+        if status == STATUS_OK:
+            self._run_actions(pool, holder.finish(order_id))
+        elif status == STATUS_CONFLICT and isinstance(value, dict) and "fence" in value:
+            self._run_actions(pool, holder.finish(order_id, value["fence"]))
         elif status:
             log_event("order refused", order=order_id, type=f"status {status}")
-            self._rollouts[pool].refuse(order_id, time.monotonic())
+            self._rollouts[pool].mark_refused(order_id, time.monotonic())
             holder.finish(order_id)
 
-    def _refuse(self, pool, action):
+    def _on_order_refused(self, pool, action):
         log_event("order refused", order=action.order_id, type=action.failure.type)
-        # Whoever holds the pool next looks at the engines afresh.
+        # The next lease holder of the pool starts from what the engines report.
         self._rollouts[pool].clear()
 
 
-APPLIERS = {
-    StoreCall: Orderer._call,
-    OrderSend: Orderer._send,
+ACTION_HANDLERS = {
+    StoreCall: Orderer._call_store,
+    OrderSend: Orderer._send_order,
     OrderDone: lambda self, pool, action: None,
-    OrderRefused: Orderer._refuse,
+    OrderRefused: Orderer._on_order_refused,
 }
--- a/src/chervilwing/orders.py
+++ b/src/chervilwing/orders.py
@@ -1,10 +1,10 @@
-"""Orders to engines: one holder a pool and data centre, by lease, with fencing.
+"""Send fenced orders to engines from one lease holder per pool and data centre.
 
-Engines that refuse an old fencing number are safe whatever pauses. For those that
-ignore it, ``margin`` and ``settle_for`` keep the old holder's orders and the new
-one's apart. Not proved for them: an order whose sender is paused between the check
-of ``send_before`` and the send, or one that the network holds for longer than
-``settle_for``, arrives after the new holder's.
+Engines that refuse an old fencing token are safe whatever process is paused. For
+engines that ignore it, ``margin`` and ``settle_time`` separate the old holder's orders
+from the new one's. For them this is not proved in two cases: an order whose sender is
+paused between the check of ``send_before`` and the send, or that the network delays for
+longer than ``settle_time``, arrives after the new holder's orders.
 """
 
 import hashlib
@@ -42,20 +42,20 @@
 class OrderSettings(NamedTuple):
     """Settings of the orders; times in seconds.
 
-    ``margin`` covers a clock that runs slow and a short pause of the holder;
-    ``settle_for`` the longest time an order is under way.
+    ``margin`` covers a slow clock and a short pause of the holder; ``settle_time`` is
+    the longest time that an order is in transit.
     """
 
     ttl: float = 9.0
     margin: float = 2.0
-    settle_for: float = 2.0
-    retry_every: float = 3.0
-    resend_every: float = 1.0
+    settle_time: float = 2.0
+    retry_interval: float = 3.0
+    resend_interval: float = 1.0
     contenders: int = 2
 
 
 class Order(NamedTuple):
-    """One order: ``load``, ``unload`` or ``role``, with what it applies to."""
+    """One order: ``operation`` is ``load``, ``unload`` or ``role``."""
 
     operation: str
     upstream: Upstream
@@ -66,7 +66,7 @@
 
 
 class OrderSend(NamedTuple):
-    """Send the order, unless it is ``send_before`` by then, on the clock of ``now``."""
+    """Send the order unless ``send_before``, on the clock of ``now``, has passed."""
 
     order_id: str
     order: Order
@@ -75,27 +75,27 @@
 
 
 class OrderDone(NamedTuple):
-    """The engine has carried out the order."""
+    """Report that the engine has carried out the order."""
 
     order_id: str
 
 
 class OrderRefused(NamedTuple):
-    """The order was not sent, or the engine refused it."""
+    """Report that the order was not sent, or that the engine refused it."""
 
     order_id: str
     failure: ChervilwingError
 
 
 def name_order(revision, order):
-    """Return the id of an order: every holder gives a revision's order the same."""
+    """Return the order's id; every holder computes the same one for a revision."""
     fields = (str(revision), order.operation, order.upstream.name, *order[2:])
     digest = hashlib.blake2b("\0".join(fields).encode(), digest_size=ORDER_ID_BYTES)
     return digest.hexdigest()
 
 
 class Holder:
-    """This instance's part in who gives orders to one pool of its data centre."""
+    """Acquire and hold the lease to send orders to one pool of a data centre."""
 
     def __init__(self, cfg, instance, data_centre, pool):
         self.cfg = cfg
@@ -104,90 +104,95 @@
         self.state = FREE
         self.fence = 0
         self._key = f"orders/{data_centre}/{pool}"
-        self._task = f"orders/{data_centre}/{pool}"
+        self._rank_key = f"orders/{data_centre}/{pool}"
         self._contends = False
         self._token = None
-        self._sent_at = 0.0
+        self._called_at = 0.0
         self._tokens = (f"{self._key}-{instance}-{n}" for n in itertools.count())
         self._lease = ""
         self._lease_until = 0.0
-        self._next_at = 0.0
-        self._settled_at = 0.0
+        self._next_call_at = 0.0
+        self._holding_from = 0.0
         self._orders = {}
 
     def enlist(self, members):
-        """Take the live instances of this data centre; the first in rank contend."""
-        chosen = rank(self._task, members)[: self.cfg.contenders]
-        self._contends = self.instance in chosen
+        """Set the live instances; those that rank first contend for the lease."""
+        contenders = rank(self._rank_key, members)[: self.cfg.contenders]
+        self._contends = self.instance in contenders
 
     def order(self, order_id, order, now):
-        """Give an order, again every second until its answer comes."""
+        """Send an order, and send it again each second until it is answered."""
         if not self._may_order(order, now):
             scope = Scope("pool", self.pool)
-            failure = NotHolder(scope=scope, retry_after=self.cfg.settle_for)
+            failure = NotHolder(scope=scope, retry_after=self.cfg.settle_time)
             return (OrderRefused(order_id, failure),)
-        self._orders[order_id] = order, now + self.cfg.resend_every
+        self._orders[order_id] = order, now + self.cfg.resend_interval
         return (self._send_order(order_id, order),)
 
     def may_act(self, now):
-        """Tell whether this holder alone acts, for those who take no fences."""
-        return self.state == HOLDING and now < self._get_end()
+        """Return whether only this holder may act on targets without fencing."""
+        return self.state == HOLDING and now < self._get_stop_time()
 
     def finish(self, order_id, newer_fence=None):
-        """Take the engine's answer; ``newer_fence`` is what it refused the order by."""
+        """Record an engine's answer to an order; return the actions.
+
+        ``newer_fence`` is the fencing token because of which the engine refused the
+        order.
+        """
         if self._orders.pop(order_id, None) is None:
             return ()
         if newer_fence is None:
             return (OrderDone(order_id),)
-        detail = f"the engine has seen {newer_fence}, this holder has {self.fence}"
+        detail = f"engine has seen fence {newer_fence}, this holder has {self.fence}"
         failure = OldFence(detail, scope=Scope("pool", self.pool))
         return (OrderRefused(order_id, failure), *self._step_down())
 
     def receive(self, token, reply, now):
-        """Take the store's reply to a call."""
+        """Handle the store's reply to a call; return the actions."""
         if token != self._token:
             return ()
         self._token = None
         if isinstance(reply, Unanswered):
-            return self._take_silence(now)
-        take = TAKERS.get((self.state, type(reply)), Holder._start_over)
-        return take(self, reply, now)
+            return self._handle_unanswered(now)
+        handle = REPLY_HANDLERS.get((self.state, type(reply)), Holder._start_over)
+        return handle(self, reply, now)
 
     def tick(self, now):
-        """Do what time has made due; call it some times a second."""
-        if self.state in (SETTLING, HOLDING) and now >= self._get_end():
+        """Return the actions that are due; call this several times per second."""
+        if self.state in (SETTLING, HOLDING) and now >= self._get_stop_time():
             return self._step_down()
-        if self.state == SETTLING and now >= self._settled_at:
+        if self.state == SETTLING and now >= self._holding_from:
             self.state = HOLDING
         actions = [*self._resend(now)]
-        if self._token is None and now >= self._next_at:
-            actions += self._go_on(now)
+        if self._token is None and now >= self._next_call_at:
+            actions += self._make_next_call(now)
         return tuple(actions)
 
     def _may_order(self, order, now):
-        # A fenced engine keeps an old holder's orders out by itself; one that ignores
-        # the number must not hear this holder while the old one's may be under way.
+        # A fenced engine refuses an old holder's orders itself. One that ignores the
+        # token must not receive orders from this holder while the old holder's may be
+        # in transit.
         states = (SETTLING, HOLDING) if order.upstream.fenced else (HOLDING,)
-        return self.state in states and now < self._get_end()
+        return self.state in states and now < self._get_stop_time()
 
-    def _get_end(self):
-        # The lease lapses in the store while its holder is paused or cut off, and
-        # the next holder may start at once. This one stops a margin earlier, by its
-        # own clock, counted from when it asked and not from when it was answered.
+    def _get_stop_time(self):
+        # The lease expires in the store while its holder is paused or partitioned, and
+        # the next holder may start at once. This holder stops a margin earlier by its
+        # own clock, counted from the time of the request and not of the answer.
         return self._lease_until - self.cfg.margin
 
     def _send_order(self, order_id, order):
-        return OrderSend(order_id, order, self.fence, self._get_end())
+        return OrderSend(order_id, order, self.fence, self._get_stop_time())
 
     def _resend(self, now):
         sends = []
         for order_id, (order, due) in list(self._orders.items()):
             if now >= due:
-                self._orders[order_id] = order, now + self.cfg.resend_every
+                self._orders[order_id] = order, now + self.cfg.resend_interval
                 sends.append(self._send_order(order_id, order))
         return sends
 
-    def _go_on(self, now):
+    def _make_next_call(self, now):
         if self.state in (SETTLING, HOLDING):
             return (self._call(Renew(self._lease), now),)
         if not self._contends:
@@ -197,63 +202,63 @@
 
     def _call(self, request, now):
         self._token = next(self._tokens)
-        self._sent_at = now
-        self._next_at = now + self.cfg.retry_every
+        self._called_at = now
+        self._next_call_at = now + self.cfg.retry_interval
         return StoreCall(self._token, request)
 
-    def _ask_lease(self, reply, now):
+    def _request_lease(self, reply, now):
         self.state = LEASING
         return (self._call(Grant(self.cfg.ttl), now),)
 
-    def _write(self, reply, now):
+    def _write_record(self, reply, now):
         self.state = WRITING
         self._lease = reply.lease
-        self._lease_until = self._sent_at + reply.ttl
-        # The lease's id is this try's operation id: no other try writes it.
+        self._lease_until = self._called_at + reply.ttl
+        # The lease id marks this attempt: no other attempt writes it.
         value = f"{self.instance} {reply.lease}"
         return (self._call(Write(self._key, value, ABSENT, reply.lease), now),)
 
-    def _find_own(self, reply, now):
+    def _check_own_record(self, reply, now):
         if reply.value != f"{self.instance} {self._lease}":
             return self._start_over(reply, now)
-        return self._hold(reply, now)
+        return self._start_settling(reply, now)
 
-    def _hold(self, reply, now):
-        # Versions never fall, not even after a deletion, so the version of the
-        # holder's record is a fencing number that every later holder exceeds.
+    def _start_settling(self, reply, now):
+        # Versions never decrease, not even after a deletion, so the version of the
+        # holder's record is a fencing token that every later holder exceeds.
         self.state = SETTLING
         self.fence = reply.version
-        self._settled_at = now + self.cfg.settle_for
+        self._holding_from = now + self.cfg.settle_time
         return ()
 
-    def _renewed(self, reply, now):
-        self._lease_until = self._sent_at + reply.ttl
+    def _extend_lease(self, reply, now):
+        self._lease_until = self._called_at + reply.ttl
         return ()
 
     def _start_over(self, reply, now):
         return self._step_down()
 
-    def _take_silence(self, now):
+    def _handle_unanswered(self, now):
         if self.state != WRITING:
             return ()
-        # The record may stand although the answer is lost: read what stands.
+        # The record may have been written although the answer was lost: read it.
         return (self._call(Read(self._key), now),)
 
     def _step_down(self):
         self.state = FREE
         self._token = None
         orders, self._orders = self._orders, {}
-        # These were sent and not answered: the engine may have carried them out.
+        # These orders were sent but not answered: the engine may have carried them out.
         failure = NotHolder(scope=Scope("pool", self.pool), outcome=UNKNOWN)
         return tuple(OrderRefused(order_id, failure) for order_id in orders)
 
 
-TAKERS = {
-    (READING, Missing): Holder._ask_lease,
-    (LEASING, Granted): Holder._write,
-    (WRITING, Written): Holder._hold,
-    (WRITING, Found): Holder._find_own,
-    (WRITING, Rejected): Holder._find_own,
-    (SETTLING, Granted): Holder._renewed,
-    (HOLDING, Granted): Holder._renewed,
+REPLY_HANDLERS = {
+    (READING, Missing): Holder._request_lease,
+    (LEASING, Granted): Holder._write_record,
+    (WRITING, Written): Holder._start_settling,
+    (WRITING, Found): Holder._check_own_record,
+    (WRITING, Rejected): Holder._check_own_record,
+    (SETTLING, Granted): Holder._extend_lease,
+    (HOLDING, Granted): Holder._extend_lease,
 }
--- a/tests/test_assignments.py
+++ b/tests/test_assignments.py
@@ -1,15 +1,15 @@
-"""Tests of which models engines are ordered to load, and of placing by model."""
+"""Tests of model loading on engines, and of placement by model."""
 
 import unittest
 from random import Random
 
 from chervilwing.assignments import (
-    LOAD_LIMIT,
-    REFUSED_PAUSE,
+    LOAD_TIMEOUT,
+    REFUSED_BACKOFF,
     Engine,
     Rollout,
     list_wanted,
-    share_room,
+    split_load_limit,
 )
 from chervilwing.models import (
     Address,
@@ -27,7 +27,7 @@
 
 
 def make_engines(*models):
-    """Return engines e0, e1, ... that have these models, one text each."""
+    """Return engines e0, e1, ...; each argument lists the loaded models of one."""
     address = Address("127.0.0.1", 1)
     return [
         Engine(
@@ -41,15 +41,15 @@
     def setUp(self):
         self.rollout = Rollout()
 
-    def plan(self, engines, room=9, may_unload=False, now=0.0):
-        """Return what is ordered, as short texts, and note it as given."""
-        orders = self.rollout.plan(WANTED, engines, room, may_unload, now)
+    def plan(self, engines, max_loads=9, may_unload=False, now=0.0):
+        """Record the planned orders as sent; return them as short texts."""
+        orders = self.rollout.plan(WANTED, engines, max_loads, may_unload, now)
         rows = [(f"{o.upstream.name} {o.operation} {o.model}", o) for o in orders]
         for text, order in rows:
-            self.rollout.note(text, order, now)
+            self.rollout.record_sent(text, order, now)
         return [text for text, _ in rows]
 
-    def test_models_of_a_pool_come_by_their_traffic(self):
+    def test_models_of_a_pool_are_sorted_by_traffic(self):
         shares = (Share("v1", 0.1), Share("v2", 0.9))
         routes = (ModelRoute("memo", "p", shares), ModelRoute("plan", "q"))
         pools = (
@@ -57,55 +57,56 @@
             Pool("q", "model"),
             Pool("s", "service"),
         )
-        found = list_wanted(
+        wanted = list_wanted(
             Configuration(1, "o", Inventory(pools), Rules((), (), routes))
         )
-        self.assertEqual(found, {"p": ("v2", "v1", "spare")})
+        self.assertEqual(wanted, {"p": ("v2", "v1", "spare")})
 
-    def test_first_copies_come_first_and_no_more_than_the_room(self):
-        # A new version goes to a data centre and every engine asked the weight store
-        # at once; none ended soon, and a model without a copy waited behind copies.
+    def test_first_copies_load_first_within_the_load_limit(self):
+        # A new version reaches a data centre, and every engine loads it from the weight
+        # store at once: none finishes soon, and a model without a copy waits behind
+        # further copies of another.
         engines = make_engines("", "", "small", "big small")
         self.assertEqual(self.plan(engines, 2), ["e0 load big", "e1 load big"])
         self.assertEqual(self.plan(engines, 2), [])
-        done = make_engines("big", "", "small", "big small")
-        self.assertEqual(self.rollout.settle(done, 1.0), ["e0 load big"])
-        self.assertEqual(self.plan(done, 2, now=1.0), ["e0 load small"])
-        self.assertEqual([share_room(4, n) for n in (0, 1, 3, 9)], [4, 4, 1, 1])
+        loaded_engines = make_engines("big", "", "small", "big small")
+        self.assertEqual(self.rollout.pop_ended(loaded_engines, 1.0), ["e0 load big"])
+        self.assertEqual(self.plan(loaded_engines, 2, now=1.0), ["e0 load small"])
+        self.assertEqual([split_load_limit(4, n) for n in (0, 1, 3, 9)], [4, 4, 1, 1])
 
-    def test_unloads_follow_the_loads_and_only_when_let(self):
+    def test_unloads_follow_the_loads_and_only_if_allowed(self):
         engines = make_engines("old big", "old big small")
         self.assertEqual(self.plan(engines), ["e0 load small"])
         self.assertEqual(self.plan(engines, may_unload=True), ["e1 unload old"])
-        done = make_engines("old big small", "big small")
-        self.assertEqual(len(self.rollout.settle(done, 1.0)), 2)
-        self.assertEqual(self.plan(done, may_unload=True), ["e0 unload old"])
+        loaded_engines = make_engines("old big small", "big small")
+        self.assertEqual(len(self.rollout.pop_ended(loaded_engines, 1.0)), 2)
+        self.assertEqual(self.plan(loaded_engines, may_unload=True), ["e0 unload old"])
 
-    def test_lost_slow_and_refusing_engines_free_the_room(self):
+    def test_lost_slow_and_refusing_engines_release_their_loads(self):
         engines = make_engines("big", "big")
         self.assertEqual(self.plan(engines, 1), ["e0 load small"])
-        self.assertEqual(self.rollout.settle(engines[1:], 1.0), ["e0 load small"])
+        self.assertEqual(self.rollout.pop_ended(engines[1:], 1.0), ["e0 load small"])
         self.assertEqual(self.plan(engines[1:], 1), ["e1 load small"])
-        late = LOAD_LIMIT + 1.0
-        self.assertEqual(self.rollout.settle(engines, late), ["e1 load small"])
+        late = LOAD_TIMEOUT + 1.0
+        self.assertEqual(self.rollout.pop_ended(engines, late), ["e1 load small"])
         self.assertEqual(self.plan(engines, 1, now=late), ["e0 load small"])
-        self.rollout.refuse("e0 load small", late)
+        self.rollout.mark_refused("e0 load small", late)
         self.assertEqual(self.plan(engines, 1, now=late), ["e1 load small"])
         self.rollout.clear()
-        later = late + REFUSED_PAUSE
+        later = late + REFUSED_BACKOFF
         self.assertEqual(self.plan(engines, 1, now=later), ["e0 load small"])
 
 
-class TestPlacingByModel(unittest.TestCase):
+class TestPlacementByModel(unittest.TestCase):
     def choose_upstream(self, state, count, model="new"):
-        """Return who gets a number of requests for a model."""
+        """Return the upstreams chosen for ``count`` requests for a model."""
         rng = Random(1)
         works = [make_work(n)._replace(model=model) for n in range(count)]
         return [choose_upstream(state, work, rng) for work in works]
 
-    def test_engine_that_has_not_loaded_a_version_gets_none_of_it(self):
-        # A caller asks for a version that one engine of twenty has loaded so far: the
-        # others answer that they can't, and retries use up the caller's budget.
+    def test_engine_without_a_version_gets_no_requests_for_it(self):
+        # One engine of twenty has loaded a new version so far. The others answer
+        # requests for it with an error, and the retries use up the caller's budget.
         state = make_state(20)
         for name in state.upstream_states:
             state.set_models(name, frozenset({"memo"}))
@@ -114,7 +115,7 @@
         self.assertTrue(state.is_restricted(make_work(1)._replace(model="new")))
         self.assertGreater(len(set(self.choose_upstream(state, 20, "memo"))), 8)
 
-    def test_engine_that_does_not_say_serves_all_and_none_is_no_bar(self):
+    def test_engine_without_a_model_report_serves_all_models(self):
         state = make_state(4, ("a", "b"))
         for name in ("u0", "u1", "u2"):
             state.set_models(name, frozenset({"memo"}))
--- a/tests/weakened.py
+++ b/tests/weakened.py
@@ -144,24 +144,24 @@
         ("platform-down", "zone-cut-off"),
     ),
     Weakness(
-        "the lost answer of a holder's record taken for a no",
+        "a lost answer to the record write treated as a refusal",
         (Edit("orders", "if self.state != WRITING", "if True"),),
-        (HOLDER + "lost_answer_of_the_record",),
+        (HOLDER + "lost_answer_to_the_record_write",),
     ),
     Weakness(
-        "no waiting out of the old holder",
+        "no wait for orders of the old holder in transit",
         (Edit("orders", "else (HOLDING,)", "else (SETTLING, HOLDING)"),),
-        (HOLDER + "engine_without_fences_waits_out_the_old_holder",),
+        (HOLDER + "unfenced_engine_gets_no_order_while_old_ones_are_in_transit",),
     ),
     Weakness(
-        "an unanswered order called not run",
+        "an unanswered order reported as not run",
         (Edit("orders", ", outcome=UNKNOWN)", ")"),),
-        (HOLDER + "newer_fence_ends_the_holder",),
+        (HOLDER + "newer_fence_makes_the_holder_step_down",),
     ),
     Weakness(
-        "order ids by holder",
+        "order ids that differ by holder",
         (Edit("orders", "fields = (str(revision),", "fields = (str(id(order)),"),),
-        (HOLDER + "two_holders_name_an_order_alike",),
+        (HOLDER + "two_holders_give_an_order_the_same_id",),
     ),
     Weakness(
         "a silent owner is waited for",
