--- a/src/chervilwing/admission.py
+++ b/src/chervilwing/admission.py
@@ -65,20 +65,20 @@
     return round(min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, randomised)), 2)
 
 
-def refuse_no_upstream(pool, retry_after):
+def make_no_upstream_error(pool, retry_after):
     """Return the error for a pool without an available upstream."""
     detail = f"no upstream of pool {pool} takes new work"
     return NoUpstream(detail, scope=Scope("pool", pool), retry_after=retry_after)
 
 
-def refuse_customer(customer, retry_after):
+def make_customer_limit_error(customer, retry_after):
     """Return the error for a customer whose queue is full."""
     detail = f"the queue of customer {customer} is full"
     scope = Scope("customer", customer)
     return CustomerLimit(detail, scope=scope, retry_after=retry_after)
 
 
-def refuse_pool(pool, retry_after):
+def make_pool_full_error(pool, retry_after):
     """Return the error for work that the pool can't complete in time."""
     detail = f"pool {pool} can't meet the deadline"
     return PoolFull(detail, scope=Scope("pool", pool), retry_after=retry_after)
--- a/src/chervilwing/assignments.py
+++ b/src/chervilwing/assignments.py
@@ -40,7 +40,7 @@
     sent_at: float
 
 
-def list_wanted(configuration):
+def list_wanted_models(configuration):
     """Return the models of each pool that lists any, by descending traffic share."""
     traffic = Counter()
     for route in configuration.rules.routes:
@@ -65,7 +65,7 @@
     return max(1, limit // max(1, pools))
 
 
-def list_loads(wanted, engines, busy, max_loads):
+def plan_loads(wanted, engines, busy, max_loads):
     """Return the load orders to send now, the model with the fewest copies first.
 
     All concurrent loads share the weight store's bandwidth. After a new version, or
@@ -96,7 +96,7 @@
     return loads
 
 
-def list_unloads(wanted, engines, busy):
+def plan_unloads(wanted, engines, busy):
     """Return the unload orders for engines that have loaded all wanted models."""
     busy_engines = {name for name, _ in busy}
     return [
@@ -123,8 +123,8 @@
             if pending.order.operation == LOAD
         ]
         busy = paused | set(self._pending)
-        orders = list_loads(wanted, engines, busy, max(0, max_loads - len(loading)))
-        return orders + (list_unloads(wanted, engines, busy) if may_unload else [])
+        orders = plan_loads(wanted, engines, busy, max(0, max_loads - len(loading)))
+        return orders + (plan_unloads(wanted, engines, busy) if may_unload else [])
 
     def record_sent(self, order_id, order, now):
         """Record an order that was sent."""
@@ -146,14 +146,14 @@
         LOAD_TIMEOUT has passed.
         """
         models = {engine.upstream.name: engine.models for engine in engines}
-        ids = []
+        order_ids = []
         for key, pending in list(self._pending.items()):
             loaded = pending.order.model in models.get(key[0], ())
             done = loaded == (pending.order.operation == LOAD)
             if done or key[0] not in models or now - pending.sent_at > LOAD_TIMEOUT:
                 del self._pending[key]
-                ids.append(pending.order_id)
-        return ids
+                order_ids.append(pending.order_id)
+        return order_ids
 
     def clear(self):
         """Forget all orders after this instance lost the lease."""
--- a/src/chervilwing/limits.py
+++ b/src/chervilwing/limits.py
@@ -2,9 +2,9 @@
 
 from .costs import blend
 
-# An upstream is slow if a unit of cost takes this multiple of the pool's fastest. A
-# full batch takes up to twice as long as a half-full one, so smaller differences are
-# noise.
+# An upstream is slow if a unit of cost takes more than this multiple of the pool's best
+# pace. A full batch takes up to twice as long as a half-full one, so smaller
+# differences are noise.
 SLOW_RATIO = 2.0
 # Factor of the limit after a slow answer; ten in a row leave a third of it.
 SLOW_FACTOR = 0.9
--- a/src/chervilwing/orderer.py
+++ b/src/chervilwing/orderer.py
@@ -6,7 +6,13 @@
 
 from circuits.core import BaseComponent, handler
 
-from .assignments import UNLOAD_DELAY, Engine, Rollout, list_wanted, split_load_limit
+from .assignments import (
+    UNLOAD_DELAY,
+    Engine,
+    Rollout,
+    list_wanted_models,
+    split_load_limit,
+)
 from .connections import Call
 from .logs import log_event
 from .messages import StoreCall
@@ -75,7 +81,7 @@
         configuration = self._dispatch.configuration
         if configuration.revision != self._revision:
             self._revision, self._revision_since = configuration.revision, now
-            self._wanted_models = list_wanted(configuration)
+            self._wanted_models = list_wanted_models(configuration)
         listed = {pool: self._list_engines(pool) for pool in self._wanted_models}
         engines = {
             pool: pool_engines for pool, pool_engines in listed.items() if pool_engines
--- a/src/chervilwing/orders.py
+++ b/src/chervilwing/orders.py
@@ -105,7 +105,7 @@
         self.fence = 0
         self._key = f"orders/{data_centre}/{pool}"
         self._rank_key = f"orders/{data_centre}/{pool}"
-        self._contends = False
+        self._is_contender = False
         self._token = None
         self._called_at = 0.0
         self._tokens = (f"{self._key}-{instance}-{n}" for n in itertools.count())
@@ -118,7 +118,7 @@
     def enlist(self, members):
         """Set the live instances; those that rank first contend for the lease."""
         contenders = rank(self._rank_key, members)[: self.cfg.contenders]
-        self._contends = self.instance in contenders
+        self._is_contender = self.instance in contenders
 
     def order(self, order_id, order, now):
         """Send an order, and send it again each second until it is answered."""
@@ -195,7 +195,7 @@
     def _make_next_call(self, now):
         if self.state in (SETTLING, HOLDING):
             return (self._call(Renew(self._lease), now),)
-        if not self._contends:
+        if not self._is_contender:
             return ()
         self.state = READING
         return (self._call(Read(self._key), now),)
--- a/src/chervilwing/placement.py
+++ b/src/chervilwing/placement.py
@@ -124,19 +124,21 @@
 
     def update(self, upstreams, leaving):
         """Set the members of the pool; the state of those that stay is kept."""
-        wanted = {upstream.name: upstream for upstream in upstreams}
-        if wanted == {
+        members_by_name = {upstream.name: upstream for upstream in upstreams}
+        if members_by_name == {
             name: state.upstream for name, state in self.upstream_states.items()
         }:
             return
-        for name in [name for name in self.upstream_states if name not in wanted]:
+        for name in [
+            name for name in self.upstream_states if name not in members_by_name
+        ]:
             lost_attempts = self.upstream_states.pop(name).running.values()
             self.running -= len(lost_attempts)
             self.non_urgent_count -= sum(
                 attempt.non_urgent for attempt in lost_attempts
             )
             self._update_indexes(name)
-        for name, upstream in wanted.items():
+        for name, upstream in members_by_name.items():
             state = self.upstream_states.setdefault(
                 name, UpstreamState(upstream, self.entry_count)
             )
@@ -190,7 +192,7 @@
         """Return the number of slots of all live upstreams."""
         return self._total_slots
 
-    def measure_load(self):
+    def get_load(self):
         """Return the number of requests on all live upstreams."""
         return self._total_load
 
@@ -409,10 +411,10 @@
 
     def _index_models(self, name, models):
         """Update the sets by model; ``models`` is None if they aren't reported."""
-        before = self._indexed_models.get(name, frozenset())
-        if before == models:
+        old_models = self._indexed_models.get(name, frozenset())
+        if old_models == models:
             return
-        for model in before or ():
+        for model in old_models or ():
             self._by_model[model].discard(name)
             if not len(self._by_model[model]):
                 del self._by_model[model]
@@ -423,8 +425,8 @@
         if models == frozenset():
             del self._indexed_models[name]
 
-    def _set_member(self, members, name, wanted):
-        if wanted:
+    def _set_member(self, members, name, present):
+        if present:
             members.add(name)
         else:
             members.discard(name)
--- a/src/chervilwing/planner.py
+++ b/src/chervilwing/planner.py
@@ -182,14 +182,14 @@
     increase. Offers that add none are therefore ordered by the slots of their zone as
     well.
     """
-    data_centre, size = _find_data_centre(need, offer), _count_slots(need, offer)
-    slots_after = slots + Counter({data_centre: size})
+    data_centre, added_slots = _find_data_centre(need, offer), _count_slots(need, offer)
+    slots_after = slots + Counter({data_centre: added_slots})
     gain = _count_usable(need, slots_after) - _count_usable(need, slots)
     if gain > 0:
         return False, get_effective_price(offer) / gain, offer.key
     return (
         True,
-        get_effective_price(offer) / size + 1e-6 * slots[data_centre],
+        get_effective_price(offer) / added_slots + 1e-6 * slots[data_centre],
         offer.key,
     )
 
--- a/src/chervilwing/queues.py
+++ b/src/chervilwing/queues.py
@@ -117,8 +117,8 @@
             band.weight += weight
         self._items[item.work.request_id] = item
         self._add_to_totals(item, 1)
-        rank = (not front, item.work.deadline, next(self._sequence))
-        heappush(flow.heaps[item.lane[1]], (*rank, item.work.request_id))
+        sort_key = (not front, item.work.deadline, next(self._sequence))
+        heappush(flow.heaps[item.lane[1]], (*sort_key, item.work.request_id))
         if item.lane not in flow.active:
             flow.active.add(item.lane)
             entry = (flow.start_tag, next(self._sequence), customer)
@@ -220,14 +220,14 @@
         """Return the start tag and item at the head of a lane; drop stale entries."""
         active = self._active[lane]
         while active:
-            start_tag, order, customer = active[0]
+            start_tag, sequence, customer = active[0]
             flow = self._flows[customer, lane[0]]
             item = self._find_queued(flow.heaps[lane[1]])
             if item is None:
                 heappop(active)
                 flow.active.discard(lane)
             elif start_tag < flow.start_tag:
-                heapreplace(active, (flow.start_tag, order, customer))
+                heapreplace(active, (flow.start_tag, sequence, customer))
             else:
                 return start_tag, item
         return None
--- a/src/chervilwing/retries.py
+++ b/src/chervilwing/retries.py
@@ -86,7 +86,7 @@
     return NOT_RUN if rule.not_run else UNKNOWN
 
 
-def refuse_retry(rule, work, upstream, retry_after):
+def make_not_retried_error(rule, work, upstream, retry_after):
     """Return the error for an attempt that isn't retried."""
     if rule.not_run:
         detail = f"upstream {upstream} and those that share its limit are full"
@@ -97,7 +97,7 @@
     return UpstreamFailed(detail, scope=scope, retry_after=retry_after)
 
 
-def refuse_over_budget(rule, work, retry_after):
+def make_retry_budget_error(rule, work, retry_after):
     """Return the error for a customer or pool without retry budget."""
     if rule.not_run:
         detail = f"the retry budget for pool {work.pool} is spent"
@@ -110,7 +110,7 @@
     )
 
 
-def refuse_too_late(rule, work, retry_after):
+def make_too_late_error(rule, work, retry_after):
     """Return the error for work whose deadline leaves no time for a retry."""
     detail = "no time is left for another attempt"
     scope = Scope("pool", work.pool)
--- a/src/chervilwing/scheduling.py
+++ b/src/chervilwing/scheduling.py
@@ -147,7 +147,7 @@
         they are about as long as this instance's queue.
         """
         pool = self._pools[name]
-        return pool.state.measure_load() + len(pool.queue) * pool.state.entry_count
+        return pool.state.get_load() + len(pool.queue) * pool.state.entry_count
 
     def record_cache_event(self, name, prefix):
         """Record a cache event as a hint that the upstream has the prefix cached."""
@@ -169,7 +169,9 @@
         """
         pool = self._pools.get(work.pool)
         if pool is None:
-            return Refusal(work.request_id, admission.refuse_no_upstream(work.pool, 5))
+            return Refusal(
+                work.request_id, admission.make_no_upstream_error(work.pool, 5)
+            )
         cost = self._costs.estimate(work)
         exc = self._judge(pool, work, cost, now)
         pool.record_cost(cost)
@@ -248,7 +250,9 @@
         rule = retries.RULES[outcome]
         pool = self._pools.get(work.pool)
         if pool is None:
-            return Refusal(work.request_id, admission.refuse_no_upstream(work.pool, 5))
+            return Refusal(
+                work.request_id, admission.make_no_upstream_error(work.pool, 5)
+            )
         work = retries.count_attempt(rule, work, upstream)
         if rule.reuse_if_only and not pool.state.has_other(work.excluded):
             work = work._replace(excluded=work.excluded - {upstream})
@@ -273,19 +277,19 @@
         if pool is None:
             return ()
         pace = pool.state.pace.mean
-        final = until - now <= FINAL_MOVE_SECONDS
+        is_final = until - now <= FINAL_MOVE_SECONDS
         moves = []
         for request_id, attempt in pool.state.upstream_states[name].running.items():
             remaining = attempt.started + attempt.cost * pace - now
             # Work that is slower than its estimate seems to end in time until it is cut
             # off, so the final move ignores the estimate.
-            if attempt.work.idempotent and (final or now + remaining > until):
+            if attempt.work.idempotent and (is_final or now + remaining > until):
                 moves.append((attempt.band, -remaining, request_id))
-        names = tuple(request_id for *_, request_id in sorted(moves))
-        if final:
-            return names
+        request_ids = tuple(request_id for *_, request_id in sorted(moves))
+        if is_final:
+            return request_ids
         free_slots = ceil(pool.state.count_free_slots() / pool.state.entry_count)
-        return names[: max(0, free_slots - len(pool.queue))]
+        return request_ids[: max(0, free_slots - len(pool.queue))]
 
     def next_wakeup(self, now):
         """Return the time when ``expire`` or ``dispatch`` is next due, or None."""
@@ -368,18 +372,18 @@
         customer, work_class = self._find_rules(work)
         if not pool.state.count_live():
             retry_after = admission.compute_retry_after(2.0, 1.0, self._rng)
-            return admission.refuse_no_upstream(pool.name, retry_after)
+            return admission.make_no_upstream_error(pool.name, retry_after)
         prediction = self._predict(pool, work, cost, customer, work_class, now)
         excess = pool.excess.measure(now)
         retry_after = admission.compute_retry_after(prediction.wait, excess, self._rng)
         if pool.queue.count(work.customer) >= customer.queue_limit:
-            return admission.refuse_customer(work.customer, retry_after)
+            return admission.make_customer_limit_error(work.customer, retry_after)
         # An idle pool accepts any work; otherwise a bad estimate could never be
         # corrected.
         if not pool.state.running and not len(pool.queue):
             return None
         if self._is_overloaded(pool, work, prediction, work_class, now):
-            return admission.refuse_pool(pool.name, retry_after)
+            return admission.make_pool_full_error(pool.name, retry_after)
         return None
 
     def _is_overloaded(self, pool, work, prediction, work_class, now):
@@ -429,14 +433,14 @@
         excess = pool.excess.measure(now)
         retry_after = admission.compute_retry_after(1.0, excess, self._rng)
         if not retries.may_retry(rule, work):
-            return retries.refuse_retry(rule, work, upstream, retry_after)
+            return retries.make_not_retried_error(rule, work, upstream, retry_after)
         if not pool.state.has_other(work.excluded):
-            return retries.refuse_retry(rule, work, upstream, retry_after)
+            return retries.make_not_retried_error(rule, work, upstream, retry_after)
         cost = self._costs.estimate(work)
         if now + pool.state.pace.estimate(cost) > work.deadline:
-            return retries.refuse_too_late(rule, work, retry_after)
+            return retries.make_too_late_error(rule, work, retry_after)
         if rule.budgeted and not self._budgets.spend(work):
-            return retries.refuse_over_budget(rule, work, retry_after)
+            return retries.make_retry_budget_error(rule, work, retry_after)
         return None
 
     def _end_pauses(self, now):
--- a/src/chervilwing/shares.py
+++ b/src/chervilwing/shares.py
@@ -53,11 +53,11 @@
         return version
 
     def _find_by_hash(self, caller):
-        point = hash_text(caller) / HASH_RANGE * WINDOW_REQUESTS
+        position = hash_text(caller) / HASH_RANGE * WINDOW_REQUESTS
         for version, quota in self._quotas.items():
-            if point < quota:
+            if position < quota:
                 return version
-            point -= quota
+            position -= quota
         return self._find_most_behind()
 
     def _get_remaining(self, version):
--- a/tests/test_assignments.py
+++ b/tests/test_assignments.py
@@ -8,7 +8,7 @@
     REFUSED_BACKOFF,
     Engine,
     Rollout,
-    list_wanted,
+    list_wanted_models,
     split_load_limit,
 )
 from chervilwing.models import (
@@ -57,7 +57,7 @@
             Pool("q", "model"),
             Pool("s", "service"),
         )
-        wanted = list_wanted(
+        wanted = list_wanted_models(
             Configuration(1, "o", Inventory(pools), Rules((), (), routes))
         )
         self.assertEqual(wanted, {"p": ("v2", "v1", "spare")})
