--- a/tests/test_fleets.py
+++ b/tests/test_fleets.py
@@ -83,8 +83,10 @@
         # backoff, the cloud would be called endlessly and nothing would start.
         bought = buy_all(self.planner, make_situation(8.0), refused=("reclaimable",))
         self.assertEqual({market for *_, market in bought}, {"on_demand"})
-        every = ("reclaimable", "on_demand")
-        self.assertEqual(buy_all(self.planner, make_situation(8.0), 1.0, every), [])
+        all_markets = ("reclaimable", "on_demand")
+        self.assertEqual(
+            buy_all(self.planner, make_situation(8.0), 1.0, all_markets), []
+        )
         due = INITIAL_BACKOFF
         self.assertIsNone(choose_offer(self.planner, make_situation(8.0), due - 0.1))
         offer = choose_offer(self.planner, make_situation(8.0), due)
@@ -95,15 +97,15 @@
         )
 
     def test_operators_rules_limit_the_purchases(self):
-        few = FleetPlanner(FLEET._replace(max_instances=2))
-        self.assertEqual(len(buy_all(few, make_situation(500.0))), 2)
-        cheap = FleetPlanner(FLEET._replace(price_ceiling=0.31))
-        bought = buy_all(cheap, make_situation(8.0))
+        small_fleet = FleetPlanner(FLEET._replace(max_instances=2))
+        self.assertEqual(len(buy_all(small_fleet, make_situation(500.0))), 2)
+        price_limited = FleetPlanner(FLEET._replace(price_ceiling=0.31))
+        bought = buy_all(price_limited, make_situation(8.0))
         self.assertEqual(set(bought), {("a", "standard", "reclaimable")})
-        least = FleetPlanner(
+        minimum_fleet = FleetPlanner(
             FLEET._replace(min_instances=3, machine_classes=("standard",))
         )
-        self.assertEqual(len(buy_all(least, make_situation(0.0))), 3)
+        self.assertEqual(len(buy_all(minimum_fleet, make_situation(0.0))), 3)
         self.assertEqual(buy_all(FleetPlanner(FLEET), make_situation(0.0)), [])
 
     def test_expensive_instance_is_replaced_and_then_returned(self):
@@ -111,20 +113,27 @@
         # replacement, its instances would be paid for until their next reclaim.
         planner = FleetPlanner(FLEET._replace(spare=0.0, machine_classes=("standard",)))
         owned = [("a", "reclaimable"), ("b", "reclaimable")]
-        rise = tuple(
+        raised_offers = tuple(
             offer._replace(price=offer.price * (3 if offer.zone == "a" else 1))
             for offer in OFFERS
         )
         before, after = (
-            make_situation(9.0, *owned, offers=offers) for offers in (OFFERS, rise)
+            make_situation(9.0, *owned, offers=offers)
+            for offers in (OFFERS, raised_offers)
         )
         self.assertIsNone(choose_offer(planner, before, 0.0))
         bought = buy_all(planner, after)
         self.assertEqual(bought, [("b", "standard", "reclaimable")])
-        whole = make_situation(9.0, *owned, ("b", "reclaimable"), offers=rise)
+        after_purchase = make_situation(
+            9.0, *owned, ("b", "reclaimable"), offers=raised_offers
+        )
         planner.measure(9.0, 0.0)
-        self.assertEqual(planner.plan(whole, NEED_DECAY_SECONDS - 1).returns, ())
-        self.assertEqual(planner.plan(whole, NEED_DECAY_SECONDS).returns, ("i0",))
+        self.assertEqual(
+            planner.plan(after_purchase, NEED_DECAY_SECONDS - 1).returns, ()
+        )
+        self.assertEqual(
+            planner.plan(after_purchase, NEED_DECAY_SECONDS).returns, ("i0",)
+        )
 
     def test_peak_is_remembered_and_inventory_is_never_returned(self):
         self.assertEqual(self.planner.measure(40.0, 0.0), 40.0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -72,10 +72,10 @@
     def test_losing_an_upstream_moves_only_its_own_prefixes(self):
         names = [f"u{index}" for index in range(20)]
         ring = Ring(names)
-        rest = set(names) - {"u3"}
+        remaining = set(names) - {"u3"}
         for number in range(500):
             before = ring.find(f"prefix-{number}", 1, names)[0]
-            after = ring.find(f"prefix-{number}", 1, rest)[0]
+            after = ring.find(f"prefix-{number}", 1, remaining)[0]
             self.assertTrue(after == before or before == "u3")
 
     def test_resumed_work_goes_to_the_upstream_with_its_cache_if_it_has_room(self):
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -28,8 +28,8 @@
             owned = buy_all(Need(busy, 8, max_starts=4), SPOT)
             zones = Counter(item.zone for item in owned)
             for zone in zones:
-                left = 8 * (len(owned) - zones[zone])
-                self.assertGreaterEqual(left, busy / 0.75)
+                remaining = 8 * (len(owned) - zones[zone])
+                self.assertGreaterEqual(remaining, busy / 0.75)
 
     def test_no_more_is_bought_than_needed(self):
         owned = buy_all(Need(30, 8, max_starts=4), SPOT)
