--- a/src/chervilwing/connections.py
+++ b/src/chervilwing/connections.py
@@ -35,8 +35,9 @@
 BODILESS_METHODS = frozenset({"GET", "HEAD", "DELETE"})
 KEEP_ALIVE_PATTERN = re.compile(r"timeout=([0-9]{1,6})")
 # Seconds by which a connection stops being reused before the upstream would close it.
-# It is unknown whether a request ran that crossed the upstream's close. The margin
-# covers the network delay and a late timer at the upstream.
+# If the upstream closes a connection while a request is on its way, it is unknown
+# whether the request ran. The margin covers the network delay and a late timer at the
+# upstream.
 IDLE_MARGIN = 0.5
 # Failure types and the outcomes reported to the scheduler; the first match counts.
 FAILURE_OUTCOMES = (
@@ -264,11 +265,11 @@
         """Fail the silent calls of an address after its probe has ended.
 
         If the probe was answered, calls on other old connections fail too: a device
-        that dropped the state of one connection has usually dropped all of that age,
-        and each call would wait for its own timeout. A connection that received
-        anything within the last half of the probed call's timeout counts as working. A
-        call that must not be repeated, and so has a connection of its own, keeps
-        waiting, as it can't be sent elsewhere.
+        that dropped the state of one connection has usually dropped that of all
+        connections of the same age, and each call would wait for its own timeout. A
+        connection that received anything within the last half of the probed call's
+        timeout counts as working. A call that must not be repeated, and so has a
+        connection of its own, keeps waiting, as it can't be sent elsewhere.
         """
         del self._probes[address]
         now = time.monotonic()
@@ -350,7 +351,8 @@
         """Return whether the answer being read belongs to an earlier call.
 
         A faulty upstream may answer one request twice, the second time while the next
-        call waits on this connection. Its caller would receive another's answer.
+        call waits on this connection. The next call's caller would then receive the
+        answer to another request.
         """
         head, expects = state.reader.head, state.call.expects
         return head is not None and expects is not None and not expects(head)
--- a/src/chervilwing/costs.py
+++ b/src/chervilwing/costs.py
@@ -6,7 +6,7 @@
 # processes tokens in parallel, decoding is memory-bound and produces one at a time.
 PREFILL_COST = 0.01
 SERVICE_COST = 1.0
-# Fraction of max_tokens that a request is expected to generate, without samples.
+# Fraction of max_tokens that a request is expected to generate before any sample.
 DEFAULT_OUTPUT_FRACTION = 0.6
 # Weight of a new sample in a moving average, which follows a change of a customer's
 # requests after about 20 samples.
@@ -28,7 +28,7 @@
     def __init__(self):
         self._output_fractions = {}
 
-    def expect_output(self, work):
+    def estimate_output_tokens(self, work):
         """Return the expected number of tokens still to be generated, at least 1."""
         fraction = self._output_fractions.get(
             (work.customer, work.work_class), DEFAULT_OUTPUT_FRACTION
@@ -40,10 +40,10 @@
         if work.kind == SERVICE:
             return SERVICE_COST
         uncached = max(0, work.prompt_tokens + work.tokens - cached)
-        return uncached * PREFILL_COST + self.expect_output(work)
+        return uncached * PREFILL_COST + self.estimate_output_tokens(work)
 
-    def measure(self, work, tokens, cached=0):
-        """Return the actual cost of finished work, and update the expected length."""
+    def record_finished(self, work, tokens, cached=0):
+        """Return the cost of finished work, and update the expected output length."""
         if work.kind == SERVICE:
             return SERVICE_COST
         if work.max_tokens:
--- a/src/chervilwing/exceptions.py
+++ b/src/chervilwing/exceptions.py
@@ -114,7 +114,7 @@
 
 
 class AllowanceUnknown(ChervilwingError):
-    """This instance is partitioned; others may have used the rest of an allowance."""
+    """This instance is partitioned; other instances may have used up the rate limit."""
 
     status, type, title = 503, "allowance-unknown", "Allowance unknown"
     outcome = NOT_RUN
@@ -183,7 +183,7 @@
 
 
 class PlatformDown(ChervilwingError):
-    """The key-value service is unreachable, so the claim can't be written."""
+    """The key-value service is unreachable, so a claim or edit can't be written."""
 
     status, type, title, outcome = 503, "platform-down", "Platform down", NOT_RUN
 
@@ -226,7 +226,10 @@
 
 
 class KeyExpired(ChervilwingError):
-    """The key is older than the records kept: it may have run and is not run again."""
+    """The key is older than the kept records.
+
+    Its request may have run and is not run again.
+    """
 
     status, type, title, outcome = 410, "key-expired", "Key too old", UNKNOWN
 
@@ -244,13 +247,16 @@
 
 
 class OutcomeUnknown(ChervilwingError):
-    """The instance that ran this key was lost; the key is never run again."""
+    """The instance that ran the request was lost; the request is never run again."""
 
     status, type, title, outcome = 409, "outcome-unknown", "Outcome unknown", UNKNOWN
 
 
 class ClaimsFull(ChervilwingError):
-    """The key's segment of claims is full; a key with a later timestamp has room."""
+    """The stored segment that holds the claims of the key's time is full.
+
+    A new key has a later timestamp, so that its claim belongs to another segment.
+    """
 
     status, type, title, outcome = 503, "claims-full", "Claims full", NOT_RUN
 
--- a/src/chervilwing/logs.py
+++ b/src/chervilwing/logs.py
@@ -2,7 +2,7 @@
 
 No line contains a prompt, a key or a body. A request's line has the fields of
 RequestLine only. A failure's line has the type and the traceback's locations, but the
-message only for a ChervilwingError, as others may quote their input.
+message only for a ChervilwingError, as other exceptions may quote their input.
 """
 
 import json
@@ -15,9 +15,9 @@
 
 from .exceptions import ChervilwingError
 
-# Rate limit of request lines. A line takes 60 us of processor time, so that tens of
-# thousands of refusals a second would delay the answers. A node is designed for 34
-# requests a second.
+# Rate limit of the log lines of requests. A line takes 60 us of processor time, so that
+# tens of thousands of refusals a second would delay the answers. A node is designed for
+# 34 requests a second.
 LINES_PER_SECOND = 300.0
 LINE_BURST = 600.0
 MAX_FRAMES = 12
@@ -41,7 +41,7 @@
 
 
 def set_up_logs(cfg, sink):
-    """Write all log lines to one sink, in the configured format and from that level.
+    """Write log lines of at least the configured level to one sink.
 
     ``diagnose`` stays off, as it would print the values of variables, such as prompts.
     Return loguru's id of the sink.
@@ -64,7 +64,7 @@
 
 
 class _RateLimit:
-    """Token bucket for request lines, and the number of lines dropped."""
+    """Token bucket for the log lines of requests, and the number of lines dropped."""
 
     tokens = float(LINE_BURST)
     updated_at = 0.0
@@ -122,7 +122,7 @@
 
 
 def log_request(line):
-    """Write the line of a finished request, subject to the rate limit."""
+    """Write the log line of a finished request, subject to the rate limit."""
     if not _is_allowed(time.monotonic()):
         return
     logger.bind(**line._asdict()).info("request")
@@ -141,8 +141,8 @@
 def describe_failure(exc):
     """Return the log fields of a failure: its type and the traceback's locations.
 
-    The message is included only for a ChervilwingError, as those of other libraries can
-    quote their input, such as a caller's body.
+    The message is included only for a ChervilwingError, as the messages of other
+    libraries can quote their input, such as a caller's body.
     """
     frames = traceback.extract_tb(exc.__traceback__)[-MAX_FRAMES:]
     places = [f"{frame.filename}:{frame.lineno} {frame.name}" for frame in frames]
--- a/src/chervilwing/models.py
+++ b/src/chervilwing/models.py
@@ -72,7 +72,7 @@
 class ModelRoute(NamedTuple):
     """The public name of a model, its pool and the versions that serve it.
 
-    If ``work_class`` is empty, here or in a Service, the customer's own applies.
+    If ``work_class`` is empty, here or in a Service, the customer's work class applies.
     """
 
     name: str
@@ -109,11 +109,11 @@
 
 
 class Fleet(NamedTuple):
-    """What may be bought for a pool; a ``price_ceiling`` of 0 means no ceiling.
+    """The machines that may be bought for a pool.
 
     ``spare`` is the fraction of the load that must still be served after the loss of
-    the largest zone or data centre. At most ``max_instances`` are bought in addition to
-    those of the inventory.
+    the largest zone or data centre. At most ``max_instances`` machines are bought in
+    addition to the inventory's. A ``price_ceiling`` of 0 means no ceiling.
     """
 
     name: str
--- a/src/chervilwing/parsers.py
+++ b/src/chervilwing/parsers.py
@@ -28,7 +28,8 @@
 TARGET_PATTERN = re.compile(r"(?:https?://[^/?#]+)?([^#]*)\Z", re.IGNORECASE)
 STATUS_LINE = re.compile(rb"(HTTP/1\.[01]) ([1-5][0-9]{2})(?: .*)?\Z")
 SUPPORTED_VERSIONS = ((1, 0), (1, 1))
-# Fields that may occur only once; of two values, two readers could use different ones.
+# Fields that may occur only once; if one were repeated, this process and the upstream
+# could use different values.
 SINGLETON_FIELDS = {
     "authorization",
     "content-length",
@@ -47,7 +48,7 @@
 class HttpRequest(NamedTuple):
     """One whole request; header names are in lower case.
 
-    ``chunks`` says whether its sender can read chunked answers.
+    ``accepts_chunks`` says whether its sender can read chunked answers.
     """
 
     method: str
@@ -56,7 +57,7 @@
     headers: dict[str, str]
     body: bytes
     keep_alive: bool
-    chunks: bool = True
+    accepts_chunks: bool = True
 
     @property
     def target(self):
@@ -101,7 +102,7 @@
     data = CRLF.join((start_line, *lines)).replace(b"\\", b"\\\\") + HEAD_END
     try:
         parser.execute(data, len(data))
-    except Exception as exc:  # It raises whatever its helpers raise.
+    except Exception as exc:  # The parser raises any type.
         raise BadRequest("The head can't be parsed.") from exc
     if parser.errno is not None or not parser.is_headers_complete():
         raise BadRequest("The head can't be parsed.")
@@ -173,9 +174,9 @@
     else:
         body = SizedBody(read_length(headers) or 0)
     keep = is_persistent(version, headers)
-    chunks = version == (1, 1)
+    accepts_chunks = version == (1, 1)
     method = parser.get_method()
-    return HttpRequest(method, path, query, headers, b"", keep, chunks), body
+    return HttpRequest(method, path, query, headers, b"", keep, accepts_chunks), body
 
 
 def make_request_body(version, headers):
@@ -215,7 +216,12 @@
     @property
     def expects_continue(self):
         """Return whether the sender waits for 100 Continue before it sends the body."""
-        if self._req is None or self._size or self._buffer or not self._req.chunks:
+        if (
+            self._req is None
+            or self._size
+            or self._buffer
+            or not self._req.accepts_chunks
+        ):
             return False
         return self._req.headers.get("expect", "").lower() == "100-continue"
 
@@ -341,10 +347,10 @@
         return rest
 
     def _parse_head(self, head):
-        """Parse one head; one with a status from 100 to 199 is ignored.
+        """Parse one head; ignore a head with a status from 100 to 199.
 
         circuits.web's parser accepts only letters and spaces as a reason phrase, so
-        that ``207 Multi-Status`` would fail; it is given a fixed one instead.
+        that ``207 Multi-Status`` would fail; it is given a fixed phrase instead.
         """
         start_line, *lines = head.split(CRLF)
         match = STATUS_LINE.match(start_line)
--- a/src/chervilwing/placement.py
+++ b/src/chervilwing/placement.py
@@ -7,25 +7,25 @@
 from .limits import Pace
 from .upstreams import UpstreamState
 
-# Upstreams per prefix: with two, a hot prefix spreads; with more, each cache would hold
-# fewer prefixes.
+# Upstreams per prefix: two spread the load of a hot prefix; with more, each cache would
+# hold fewer prefixes.
 PREFIX_OWNERS = 2
 # Ratio of an owner's load to the pool's mean above which work goes elsewhere
 # (bounded-load consistent hashing, Mirrokni et al. 2016, with c = 1.25).
 LOAD_BOUND = 1.25
-# Part of the prompt that a ring owner is assumed to have cached if no hint says so.
+# Fraction of the prompt that a ring owner is assumed to have cached if no hint says so.
 ASSUMED_CACHED_PART = 0.5
 # Below this many prompt tokens, a cached prefix saves less than sending to another data
 # centre costs.
 MIN_AFFINITY_TOKENS = 128
 # Prefixes with cache hints; the least recently used are dropped first.
 MAX_HINTS = 4096
-# Each further sequence in a batch adds about this part of the time that a sequence
+# Each further sequence in a batch adds about this fraction of the time that a sequence
 # takes alone.
 BATCH_SLOWDOWN = 0.15
-# Random picks before the pool is treated as full.
+# Upstreams sampled at random before the pool is treated as full.
 RANDOM_PICKS = 4
-# Random picks among the upstreams that serve a model if not all do. More than
+# Upstreams sampled among those that serve a model, if not all do. More than
 # RANDOM_PICKS, because the sets by model also hold full and distant upstreams.
 MODEL_PICKS = 8
 
@@ -167,7 +167,7 @@
         for name in self.upstream_states:
             self._update_indexes(name)
 
-    def set_typical(self, seconds, overcommit):
+    def set_service_estimate(self, seconds, overcommit):
         """Set the typical service time and the overcommit of each upstream.
 
         ``seconds`` is the time that typical work takes; ``overcommit`` is the number of
@@ -238,10 +238,10 @@
     def choose(self, work, keep_reserve, extra, estimate, rng):
         """Return the best upstream's name, its cost and its cached tokens, or None.
 
-        Prefixes are skewed. If each request went to the least loaded upstream, every
-        prefix would be computed on every upstream; if each prefix always went to the
-        same upstream, a hot prefix would overload it. The choice therefore weighs
-        cached tokens against load.
+        A few prefixes make up most of the requests. If each request went to the least
+        loaded upstream, every prefix would be computed on every upstream; if each
+        prefix always went to the same upstream, a hot prefix would overload it. The
+        choice therefore weighs cached tokens against load.
 
         ``keep_reserve`` is set if the work must leave the reserved slots free.
         ``extra`` is the number of requests that may be sent to a full upstream in
@@ -254,16 +254,16 @@
         owners = self._find_owners(work)
         serving_sets = self._find_serving_sets(work)
         if serving_sets is None:
-            names = list(owners) + self._draw(rng, work, keep_reserve)
+            names = list(owners) + self._sample_with_room(rng, work, keep_reserve)
         else:
-            names = self._draw_serving(rng, serving_sets)
+            names = self._sample_serving(rng, serving_sets)
         candidates = [
             name for name in names if self._has_room_for(name, work, keep_reserve)
         ]
         if serving_sets is not None:
             candidates = self._prefer_near(candidates)
         if not candidates and serving_sets is None:
-            candidates = self._draw_full(rng, work, keep_reserve, extra)
+            candidates = self._sample_full(rng, work, keep_reserve, extra)
         if not candidates:
             return None
         scored = [self._score(name, work, owners, estimate) for name in candidates]
@@ -313,7 +313,7 @@
             [reporting, self._models_unknown] if reporting else [self._models_unknown]
         )
 
-    def _draw_serving(self, rng, serving_sets):
+    def _sample_serving(self, rng, serving_sets):
         return [
             name for group in serving_sets for name in group.sample(rng, MODEL_PICKS)
         ]
@@ -330,8 +330,11 @@
         mean = self._total_load / max(1, self._total_slots)
         return state.load <= LOAD_BOUND * mean * state.slots + 1
 
-    def _draw(self, rng, work, keep_reserve):
-        """Return two random upstreams with room, from this data centre if possible.
+    def _sample_with_room(self, rng, work, keep_reserve):
+        """Return random upstreams with room.
+
+        These are up to two from this data centre or, if the work may run on none of
+        them, up to RANDOM_PICKS from all data centres.
 
         Many entry instances decide independently. If each chose the least loaded
         upstream, all would send to the same one; the better of two random choices is
@@ -342,7 +345,7 @@
             return names
         return self._with_room[keep_reserve].sample(rng, RANDOM_PICKS)
 
-    def _draw_full(self, rng, work, keep_reserve, extra):
+    def _sample_full(self, rng, work, keep_reserve, extra):
         """Return random full upstreams that may get this work beyond their slots.
 
         While an entry instance is below its share of the slots, it may send one more
@@ -368,7 +371,7 @@
         return state.has_room(self.reserved_slots if keep_reserve else 0, extra)
 
     def _score(self, name, work, owners, estimate):
-        """Return the expected seconds there, the name, cost and cached tokens."""
+        """Return the expected seconds, the upstream's name, cost and cached tokens."""
         state = self.upstream_states[name]
         cached = owners.get(name, 0)
         cost = estimate(work, cached)
--- a/src/chervilwing/pools.py
+++ b/src/chervilwing/pools.py
@@ -15,17 +15,18 @@
 INITIAL_PACE = {MODEL: 0.05, SERVICE: 0.05}
 # Work above this multiple of the pool's typical cost is long.
 LONG_COST_RATIO = 4.0
-# One in this many slots of each upstream is reserved; work over its quota must leave it
-# free.
+# One in this many slots of each upstream is reserved; work over its quota must leave
+# the reserved slots free.
 RESERVE_DIVISOR = 4
 # Seconds between updates of the quota, which changes far more slowly.
 QUOTA_INTERVAL = 0.1
-# Beyond its slots, an upstream may be sent the work that it completes in this part of
-# the tightest first-token target of the pool. Otherwise slots would stay empty until
-# the next load report when one entry instance has a peak or work is shorter than the
-# report interval. Further work, which would be late because of the wait, stays in the
-# queue, where it can still be reordered, moved or refused.
-OVERCOMMIT_PART = 0.5
+# Fraction of the pool's tightest first-token target that work may wait inside an
+# upstream. An upstream may be sent as many requests beyond its slots as it completes in
+# that time. Otherwise slots would stay empty until the next load report, during a burst
+# at one entry instance or if work is shorter than the report interval. More work than
+# that would be late, so it stays in the queue, where it can still be reordered, moved
+# or refused.
+OVERCOMMIT_TARGET_FRACTION = 0.5
 # Urgent work arrives in bursts and needs this multiple of its mean number of slots.
 URGENT_HEADROOM = 1.2
 
@@ -161,12 +162,17 @@
         self.state.set_reserve(max(1, slots // RESERVE_DIVISOR) if slots > 1 else 0)
         typical_seconds = max(self.get_typical_seconds(), 1e-6)
         overcommit = (
-            self.get_tightest_target() * OVERCOMMIT_PART * slots / typical_seconds
+            self.get_tightest_target()
+            * OVERCOMMIT_TARGET_FRACTION
+            * slots
+            / typical_seconds
         )
         # Without a measurement, no work may wait in an upstream on the basis of a
         # guess.
         measured = self.state.pace.measured
-        self.state.set_typical(typical_seconds, int(overcommit) if measured else 0)
+        self.state.set_service_estimate(
+            typical_seconds, int(overcommit) if measured else 0
+        )
 
     def describe(self, now):
         """Return the figures of this pool for operators."""
--- a/src/chervilwing/reports.py
+++ b/src/chervilwing/reports.py
@@ -36,7 +36,7 @@
 def render_metrics(stats):
     """Yield the text exposition in blocks, so that a writer can pause between them.
 
-    Quantiles cover this instance only and can't be averaged over several; the
+    Quantiles cover this instance only and can't be averaged over several instances; the
     histograms of /-/histograms can be merged.
     """
     rows = stats.list_series()
@@ -128,7 +128,7 @@
                 raise ValueError(f"version {report['version']!r}")
             for entry in report["series"]:
                 _add_entry(total, entry)
-        # Invalid bytes make hdrh raise its own exceptions and those of zlib.
+        # Invalid bytes make hdrh raise its own exceptions or zlib's.
         except Exception as exc:
             raise BadRequest(f"not a report of histograms: {exc!r:.200}") from exc
     return total
--- a/src/chervilwing/scheduling.py
+++ b/src/chervilwing/scheduling.py
@@ -26,9 +26,10 @@
 # After a loss of capacity, the lowest band waits this long (seconds): about as long as
 # the survivors need to take over the moved work.
 RECOVERY_SECONDS = 10.0
-# Names of leaving upstreams to remember, because the instance list lags behind.
+# Maximum number of leaving upstreams to remember. They are remembered because the
+# instance list may still show them as live.
 MAX_LEAVING_NAMES = 4096
-# Seconds before a leaving upstream ends in which all its remaining work moves.
+# In the last seconds before a leaving upstream ends, all its remaining work is moved.
 FINAL_MOVE_SECONDS = 1.5
 
 
@@ -175,7 +176,9 @@
         cost = self._costs.estimate(work)
         exc = self._judge(pool, work, cost, now)
         pool.record_cost(cost)
-        pool.latency_targets[work.work_class] = self._find_rules(work)[1].first_token
+        pool.latency_targets[work.work_class] = self._find_customer_and_class(work)[
+            1
+        ].first_token
         pool.excess.record(cost, exc is None, now)
         pool.offered_rates[self._find_lane(pool, work, cost)].record(cost, now)
         if exc is not None:
@@ -212,7 +215,7 @@
         return refusals
 
     def withdraw(self, request_id, now):
-        """Remove queued work whose caller disconnected; return if it was queued."""
+        """Remove queued work of a disconnected caller; return whether it was queued."""
         pool = self._pools_by_request.pop(request_id, None)
         return pool is not None and pool.queue.remove(request_id) is not None
 
@@ -263,15 +266,15 @@
         return None
 
     def shift(self, name, until, now):
-        """Return the request ids to move away from a leaving upstream now, in order.
+        """Return the ids of the requests to move off a leaving upstream now, in order.
 
         In a reclaim wave, moving all the work of a zone at once would overload the
         surviving upstreams, although the work can still run where it is. So only as
         many requests move as there are free slots: the most urgent first, and among
-        these the one with the most work left. Requests that should end before ``until``
-        stay, and those of the lowest band move last. In the last FINAL_MOVE_SECONDS,
-        all remaining requests move. Call this repeatedly until the upstream has no
-        requests left.
+        equally urgent ones those with the most work left. ``until`` is the time when
+        the upstream ends; requests that should end before it stay. In the last
+        FINAL_MOVE_SECONDS, all remaining requests move. Call this repeatedly until the
+        upstream has no requests left.
         """
         pool = self._find_pool_of(name)
         if pool is None:
@@ -361,15 +364,15 @@
             else:
                 cost_ahead += item.cost
 
-    def _find_rules(self, work):
-        # Returns the customer and the work class, with defaults for unknown names.
+    def _find_customer_and_class(self, work):
+        # An unknown name gets a customer or class with the default limits.
         customer = self._customers.get(work.customer) or Customer(work.customer)
         work_class = self._classes.get(work.work_class) or WorkClass(work.work_class)
         return customer, work_class
 
     def _judge(self, pool, work, cost, now):
         """Return the error that refuses new work, or None to admit it."""
-        customer, work_class = self._find_rules(work)
+        customer, work_class = self._find_customer_and_class(work)
         if not pool.state.count_live():
             retry_after = admission.compute_retry_after(2.0, 1.0, self._rng)
             return admission.make_no_upstream_error(pool.name, retry_after)
@@ -415,7 +418,7 @@
         return Prediction(wait, completions_ahead, first_token, cost * pace)
 
     def _enqueue(self, pool, work, cost, front=False):
-        customer, _ = self._find_rules(work)
+        customer, _ = self._find_customer_and_class(work)
         lane = self._find_lane(pool, work, cost)
         latest_start = work.deadline - pool.state.pace.estimate(cost)
         item = QueuedWork(work, cost, lane, latest_start)
@@ -425,7 +428,7 @@
         heappush(self._start_deadlines, (latest_start, work.request_id))
 
     def _find_lane(self, pool, work, cost):
-        _, work_class = self._find_rules(work)
+        _, work_class = self._find_customer_and_class(work)
         return _find_band(work_class), LONG if pool.is_long(cost) else SHORT
 
     def _check_retry(self, pool, rule, work, upstream, now):
@@ -475,7 +478,7 @@
             else:
                 blocked |= {(band, item.lane[1]) for band in BANDS}
         for item in deferred:
-            customer, _ = self._find_rules(item.work)
+            customer, _ = self._find_customer_and_class(item.work)
             pool.queue.push(item, customer.weight, front=True)
 
     def _place_item(self, pool, item, now):
@@ -504,7 +507,7 @@
 
     def _update_estimates(self, pool, state, attempt, duration_s, tokens):
         """Update estimates, limit and the customer's account after an answer."""
-        cost = self._costs.measure(attempt.work, tokens, attempt.cached)
+        cost = self._costs.record_finished(attempt.work, tokens, attempt.cached)
         pace = max(duration_s, 1e-6) / cost
         pool.state.pace.record(pace)
         state.limit.record(pace, pool.state.pace.best, state.slots)
--- a/src/chervilwing/settings.py
+++ b/src/chervilwing/settings.py
@@ -151,23 +151,33 @@
 
 
 FIELDS = (
-    Field("listen", parse_address, "127.0.0.1:8080", "HOST:PORT", "for callers"),
+    Field(
+        "listen",
+        parse_address,
+        "127.0.0.1:8080",
+        "HOST:PORT",
+        "address that accepts callers",
+    ),
     Field(
         "peer_listen",
         parse_address,
         "127.0.0.1:8081",
         "HOST:PORT",
-        "for entry instances",
+        "address that accepts entry instances",
     ),
     Field(
         "peer_address",
         parse_optional_address,
         "",
         "HOST:PORT",
-        "that entry instances dial; that of peer_listen if empty",
+        "address that entry instances connect to; --peer-listen if empty",
     ),
     Field(
-        "peers", parse_addresses, "", "HOST:PORT,...", "entry instances to join first"
+        "peers",
+        parse_addresses,
+        "",
+        "HOST:PORT,...",
+        "addresses of entry instances to join at the start",
     ),
     Field("data_centre", parse_name, "local", "name", "where this instance runs"),
     Field("region", parse_name, "local", "name", "region of the data centre"),
@@ -176,29 +186,71 @@
         parse_optional_name,
         "",
         "name",
-        "this instance; made from listen if empty",
+        "instance name; derived from --data-centre and --listen if empty",
     ),
     Field("store", parse_optional_address, "", "HOST:PORT", "key-value service"),
-    Field("cloud", parse_optional_address, "", "HOST:PORT", "cloud API with notices"),
+    Field(
+        "cloud",
+        parse_optional_address,
+        "",
+        "HOST:PORT",
+        "cloud API with reclaim notices",
+    ),
     Field("instance_list", parse_optional_address, "", "HOST:PORT", "instance list"),
     Field(
-        "embedded", parse_flag, "false", "true|false", "run stand-ins in the process"
+        "embedded",
+        parse_flag,
+        "false",
+        "true|false",
+        "simulate the other services in this process",
     ),
     Field("log_format", one_of(LOG_FORMATS), "json", "json|text", "form of log lines"),
-    Field("log_level", one_of(LOG_LEVELS), "info", "|".join(LOG_LEVELS), "least level"),
+    Field(
+        "log_level",
+        one_of(LOG_LEVELS),
+        "info",
+        "|".join(LOG_LEVELS),
+        "lowest level that is logged",
+    ),
     Field("body_limit", parse_count, str(4 * MIB), "bytes", "largest request body"),
     Field("head_limit", parse_count, "16384", "bytes", "largest request head"),
-    Field("head_timeout", parse_seconds, "10", "s", "for a caller to send its request"),
     Field(
-        "idle_timeout", parse_seconds, "75", "s", "until an unused connection closes"
+        "head_timeout",
+        parse_seconds,
+        "10",
+        "s",
+        "maximum time for a caller to send its request",
+    ),
+    Field(
+        "idle_timeout",
+        parse_seconds,
+        "75",
+        "s",
+        "time until an unused connection is closed",
     ),
-    Field("connect_timeout", parse_seconds, "1", "s", "to open a connection"),
     Field(
-        "silence_timeout", parse_seconds, "10", "s", "without a byte from an upstream"
+        "connect_timeout", parse_seconds, "1", "s", "maximum time to open a connection"
+    ),
+    Field(
+        "silence_timeout",
+        parse_seconds,
+        "10",
+        "s",
+        "time until a call to a silent upstream fails",
+    ),
+    Field(
+        "request_timeout", parse_seconds, "120", "s", "maximum time for a whole request"
+    ),
+    Field(
+        "drain_timeout", parse_seconds, "150", "s", "maximum time for a planned stop"
+    ),
+    Field(
+        "drain_lag",
+        parse_seconds,
+        "5",
+        "s",
+        "time until the load balancer notices a stop",
     ),
-    Field("request_timeout", parse_seconds, "120", "s", "for a whole request"),
-    Field("drain_timeout", parse_seconds, "150", "s", "for a planned stop"),
-    Field("drain_lag", parse_seconds, "5", "s", "that the balancer may lag at a stop"),
     # Callers that give up can't be distinguished from those that will reconnect, and a
     # request that keeps running may occupy an engine's slot for nobody. A client that
     # reconnects does so within a second or two.
@@ -207,15 +259,16 @@
         parse_seconds,
         "5",
         "s",
-        "that a request runs on after its caller's connection broke",
+        "time that a request runs on after its caller's connection broke",
     ),
-    # A caller whose entry instance failed first waits for its load balancer to notice.
+    # If a caller's entry instance fails, the caller can reconnect only once its load
+    # balancer has noticed the failure.
     Field(
         "reconnect_keep",
         parse_seconds,
         "30",
         "s",
-        "that an answer is kept for its caller to come back",
+        "time that an answer is kept for its caller to reconnect",
     ),
     # An eighth of the 128 MB that a node has for the control plane.
     Field(
@@ -225,17 +278,41 @@
         "bytes",
         "largest size of all answers kept",
     ),
-    Field("store_timeout", parse_seconds, "2", "s", "for a key-value call"),
-    Field("watch_wait", parse_seconds, "30", "s", "that one watch waits"),
-    Field("default_class", parse_name, "standard", "name", "class of unclassed work"),
     Field(
-        "stats_pairs", parse_count, "64", "count", "customer and class pairs kept apart"
+        "store_timeout",
+        parse_seconds,
+        "2",
+        "s",
+        "maximum time for a call to the key-value service",
+    ),
+    Field("watch_wait", parse_seconds, "30", "s", "maximum time for one watch call"),
+    Field(
+        "default_class",
+        parse_name,
+        "standard",
+        "name",
+        "work class if none is configured",
+    ),
+    Field(
+        "stats_pairs",
+        parse_count,
+        "64",
+        "count",
+        "customer and class pairs with own statistics",
     ),
     # When all engines of a data centre load a new version, the loads share the weight
     # store's rate and would all finish late. With two at once, one can read while the
     # other fills its accelerator.
-    Field("loads_at_once", parse_count, "2", "count", "model loads in a data centre"),
-    Field("operator_key_hash", parse_digest, "", "digest", "SHA-256 of operators' key"),
+    Field(
+        "loads_at_once",
+        parse_count,
+        "2",
+        "count",
+        "model loads at the same time in a data centre",
+    ),
+    Field(
+        "operator_key_hash", parse_digest, "", "digest", "SHA-256 of the operators' key"
+    ),
 )
 FIELDS_BY_NAME = {field.name: field for field in FIELDS}
 
@@ -249,7 +326,7 @@
 
 
 ENTRY = Program(
-    "chervilwingd", "Entry daemon before model engines and plain services.", FIELDS
+    "chervilwingd", "Entry daemon in front of model engines and plain services.", FIELDS
 )
 
 
@@ -336,7 +413,8 @@
     (
         lambda cfg: cfg.drain_timeout >= cfg.request_timeout + cfg.drain_lag,
         "drain_timeout",
-        "shorter than --request-timeout and --drain-lag, so a stop would cut requests",
+        "shorter than --request-timeout plus --drain-lag, "
+        "so a stop would interrupt requests",
     ),
     (
         lambda cfg: cfg.peer_listen != cfg.listen or cfg.listen.port == 0,
--- a/src/chervilwing/sockets.py
+++ b/src/chervilwing/sockets.py
@@ -67,7 +67,8 @@
     received: Callable[["Conn", bytes], None]
     closed: Callable[["Conn", OSError | None], None]
     drained: Callable[["Conn"], None] = lambda conn: None
-    # Called when the peer has closed its sending half; True keeps ours open.
+    # Called when the peer has closed its sending half. If it returns True, this side
+    # may still send; otherwise the connection is closed.
     half_closed: Callable[["Conn"], bool] = lambda conn: False
 
 
--- a/src/chervilwing/stats.py
+++ b/src/chervilwing/stats.py
@@ -13,8 +13,8 @@
 # digits; at the target of 63 ms between tokens, the error of 1 % is 0.6 ms. A histogram
 # of this range takes 21.6 kB, so 64 pairs of customer and class with three latencies
 # each take 4.2 MB of the 128 MB that a node has for the control plane.
-# To record a value takes 2.3 us, so the gaps of a chunk of several tokens are recorded
-# together.
+# Recording a value takes 2.3 us, so the gaps between tokens that arrive in one chunk
+# are recorded in one call with a count.
 UNITS_PER_SECOND = 10_000
 MAX_UNITS = 3600 * UNITS_PER_SECOND
 SIGNIFICANT_DIGITS = 2
@@ -92,7 +92,10 @@
         self.series = {}
 
     def select(self, customer, work_class):
-        """Return the Series of a pair, or the shared one; a request calls this once."""
+        """Return the Series of a pair, or the shared one if there are too many pairs.
+
+        A request calls this once.
+        """
         key = (customer, work_class)
         if key not in self.series and len(self.series) >= self.pairs:
             key = (OTHER, OTHER)
--- a/src/chervilwing/web.py
+++ b/src/chervilwing/web.py
@@ -111,7 +111,7 @@
         is therefore not kept alive.
         """
         fields = {"Content-Type": content_type}
-        if self.req.chunks:
+        if self.req.accepts_chunks:
             fields["Transfer-Encoding"] = "chunked"
         else:
             self.req = self.req._replace(keep_alive=False)
@@ -131,7 +131,7 @@
             framing = (
                 {} if status in BODILESS_STATUSES else {"Content-Length": str(length)}
             )
-        elif self.req.chunks:
+        elif self.req.accepts_chunks:
             framing = {"Transfer-Encoding": "chunked"}
         else:
             framing = {}
@@ -148,12 +148,12 @@
 
     def finish(self, data=b""):
         """Send the last piece of the body, if any, and end the answer."""
-        end = CHUNKED_END if self.req.chunks and not self.has_length else b""
+        end = CHUNKED_END if self.req.accepts_chunks and not self.has_length else b""
         self._write((self._frame(data) if data else b"") + end)
         self._end()
 
     def _frame(self, data):
-        if self.has_length or not self.req.chunks:
+        if self.has_length or not self.req.accepts_chunks:
             return data
         return b"%x\r\n%b\r\n" % (len(data), data)
 
@@ -176,7 +176,7 @@
         if self.gone or self.finished:
             return
         self.finished = True
-        self._web.complete(self._conn, self.req.keep_alive)
+        self._web.end_exchange(self._conn, self.req.keep_alive)
 
 
 class _Caller:
@@ -240,8 +240,11 @@
         """Close a caller's connection at once."""
         self._streams.drop(conn)
 
-    def complete(self, conn, keep_alive):
-        """Close the connection, or serve the requests received in the meantime."""
+    def end_exchange(self, conn, keep_alive):
+        """End an exchange.
+
+        Close the connection, or serve the requests received in the meantime.
+        """
         caller = conn.state
         caller.exchange = None
         caller.waiting_since = time.monotonic()
@@ -351,7 +354,7 @@
         exchange = conn.state.exchange
         if exchange is None or not self._options.half_open:
             return False
-        if exchange.req.chunks and not exchange.started:
+        if exchange.req.accepts_chunks and not exchange.started:
             self._streams.send(conn, CONTINUE)
         return True
 
@@ -367,7 +370,7 @@
 class _UnreadableRequest(NamedTuple):
     method: str = ""
     keep_alive: bool = False
-    chunks: bool = True
+    accepts_chunks: bool = True
 
 
 UNREADABLE_REQUEST = _UnreadableRequest()
--- a/src/chervilwing/work.py
+++ b/src/chervilwing/work.py
@@ -11,7 +11,7 @@
 SILENT = "silent"
 PATH = "path"  # silent on an old connection, but reachable on a new one
 BUSY = "busy"  # refused by the upstream, so not run
-EXHAUSTED = "exhausted"  # refused for want of a resource that other upstreams share
+EXHAUSTED = "exhausted"  # refused: a resource that other upstreams share is used up
 LEAVING = "leaving"  # the upstream is about to go away
 CANCELLED = "cancelled"  # ended by this instance
 
@@ -19,12 +19,12 @@
 class Work(NamedTuple):
     """One request as the scheduler sees it.
 
-    ``deadline`` is in seconds on the clock that ``now`` is read from. ``prefix`` is a
-    hash of the prompt's beginning, by which requests share a KV cache, or empty.
-    ``tokens`` is the number of tokens already streamed. ``moves`` counts the
-    ``attempts`` that ended only because their upstream was leaving. ``keeper`` is the
-    upstream that holds the KV cache of the prompt and these tokens, if any. ``model``
-    is the model version chosen for this request.
+    ``deadline`` is a monotonic time in seconds, like the ``now`` that the scheduler's
+    methods receive. ``prefix`` is a hash of the prompt's beginning, by which requests
+    share a KV cache, or empty. ``tokens`` is the number of tokens already streamed.
+    ``moves`` counts the ``attempts`` that ended only because their upstream was
+    leaving. ``keeper`` is the upstream that holds the KV cache of the prompt and these
+    tokens, if any. ``model`` is the model version chosen for this request.
     """
 
     request_id: str
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -170,7 +170,7 @@
         self.assertEqual(self.call(upstream.port, "/third").body, b"/third")
 
     def test_failed_calls_report_their_type_and_outcome(self):
-        def cut(conn, *call):
+        def close_in_the_body(conn, *call):
             conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
             conn.shutdown(socket.SHUT_RDWR)
 
@@ -185,7 +185,7 @@
             conn.recv(1)
 
         for script, kind in (
-            (cut, ConnectionBroken),
+            (close_in_the_body, ConnectionBroken),
             (answer_without_end, ConnectionBroken),
             (send_garbage, UpstreamFailed),
             (lambda conn, *call: conn.shutdown(socket.SHUT_RDWR), ConnectionBroken),
@@ -390,8 +390,9 @@
                     self.assertEqual(self.count("effects", body), effects)
 
     def test_a_silent_service_is_reported_as_silent(self):
-        # The service accepts a note and never answers. The caller was told that the
-        # upstream failed; the operators' page treats silence as a failure of its own.
+        # The service accepts a note and never answers. The caller must receive the
+        # problem type upstream-silent, which docs/OPERATIONS.md lists separately from
+        # upstream-failed.
         deployment = Deployment()
         self.addCleanup(deployment.close)
         deployment.start_upstreams(0, 1)
@@ -418,7 +419,8 @@
             self.assertEqual((answer.status, len(answer.body)), (200, 3000))
 
     def test_a_status_without_a_reason_phrase_is_passed_on(self):
-        # A status without a registered reason phrase broke the encoder of the answer.
+        # The encoder of the answer must not fail on a status that has no registered
+        # reason phrase.
         def answer(conn, method, path, body):
             if path == "/-/load":
                 send_load(conn)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -20,7 +20,7 @@
 from chervilwing.settings import read_settings
 
 SECRET = "driver 4711 lost his licence"
-REQUEST_LINE = RequestLine("r-1", "c", "memo", "e1", 2, 101, 7, "ran", seconds=5.8)
+LOG_ENTRY = RequestLine("r-1", "c", "memo", "e1", 2, 101, 7, "ran", seconds=5.8)
 
 
 class TestLogs(unittest.TestCase):
@@ -34,14 +34,14 @@
         return sink.getvalue().splitlines()
 
     def test_json_line_contains_every_field_of_a_request(self):
-        (text,) = self.collect("json", lambda: log_request(REQUEST_LINE))
+        (text,) = self.collect("json", lambda: log_request(LOG_ENTRY))
         fields = json.loads(text)
-        for name, value in REQUEST_LINE._asdict().items():
+        for name, value in LOG_ENTRY._asdict().items():
             self.assertEqual(fields.pop(name), value)
         self.assertEqual(sorted(fields), ["at", "level", "message"])
 
     def test_text_line(self):
-        (text,) = self.collect("text", lambda: log_request(REQUEST_LINE))
+        (text,) = self.collect("text", lambda: log_request(LOG_ENTRY))
         self.assertIn('info request request="r-1" customer="c"', text)
 
     def test_no_line_holds_a_prompt_a_key_or_a_body(self):
@@ -73,7 +73,7 @@
         self.assertEqual(json.loads(text)["detail"], "memo full")
 
     def test_a_request_id_is_escaped_and_truncated(self):
-        line = REQUEST_LINE._replace(request="x\n{braces} <red>" + "y" * 9000)
+        line = LOG_ENTRY._replace(request="x\n{braces} <red>" + "y" * 9000)
         for log_format in ("json", "text"):
             (text,) = self.collect(log_format, lambda: log_request(line))
             self.assertLess(len(text), 1000)
@@ -107,14 +107,14 @@
         self.assertEqual({len(line) for line in lines[:-2]}, {1000})
         self.assertEqual(lines[-2], b"whole again")
 
-    def test_request_lines_beyond_the_rate_limit_are_dropped(self):
+    def test_request_log_lines_beyond_the_rate_limit_are_dropped(self):
         sink = io.StringIO()
         cfg = read_settings(["--embedded"], {}).unwrap()
         set_up_logs(cfg, sink)
         self.addCleanup(logger.remove)
         before = count_dropped()
         for _ in range(2000):
-            log_request(REQUEST_LINE)
+            log_request(LOG_ENTRY)
         written = len(sink.getvalue().splitlines())
         self.assertEqual(written + count_dropped() - before, 2000)
         self.assertLess(written, 1500)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -41,7 +41,7 @@
     return item.name or item.callback.__name__
 
 
-class TestOperations(unittest.TestCase):
+class TestOperationsPage(unittest.TestCase):
     def check_listed(self, names, form):
         """Check that the page contains each name, formatted with ``form``."""
         missing = {name for name in names if form.format(name) not in PAGE}
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -123,8 +123,8 @@
 
 class TestRequests(unittest.TestCase):
     def test_ambiguous_and_oversized_requests_are_rejected(self):
-        # If a load balancer and this instance disagree where a request ends, what one
-        # takes for a body the other runs as another caller's request.
+        # If a load balancer and this instance disagree where a request ends, bytes that
+        # one of them reads as a body are run by the other as another caller's request.
         for name, (kind, data) in REJECTED_REQUESTS.items():
             for parts in ((data,), *split_everywhere(data)):
                 with self.subTest(name, parts=len(parts), first=len(parts[0])):
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -83,9 +83,9 @@
                 self.assertEqual(find_imports(path) & (IO_MODULES | EDGE), set())
 
 
-# Header fields, paths and body fields that only the users' platform defines. They are
-# decoded once, in the adapter; used anywhere else, they would tie the product to that
-# platform.
+# Names of header fields, paths and body fields that are defined by the platform on
+# which customers run this product. Only the adapter, src/chervilwing/platform, may
+# contain them; used elsewhere, they would tie the product to that platform.
 PLATFORM_NAMES = re.compile(
     r"x-server|x-not-run|x-prompt|x-token|x-tenant|x-expect|x-deadline|x-duty|x-fence"
     r"|x-request-urgency|x-model|x-length-hint|kv-from|kv-range|kv-watch|kv-txn"
@@ -93,8 +93,8 @@
     r"|leaves_ms|storeRevision|ifRev|waitMs|kvCapacity|bootTimeS|spotPrice|windowId",
     re.IGNORECASE,
 )
-# Exceptions: the refusal header of the product's first interface, from before the
-# platform, which the stand-ins still send.
+# Allowed outside the adapter: ``forwards`` also reads X-Not-Run, which the fake
+# services of the tests send with a refusal.
 PLATFORM_NAMES_ALLOWED = {"forwards": {"x-not-run"}}
 
 
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -35,7 +35,7 @@
 NOTES = "/services/portal/notes"
 BODY_LIMIT = 100_000
 CALLER_COUNT = 150
-# Factor of the engine's time per token: half a second with it, nearly none without.
+# Factor by which an engine's 1 ms per token is multiplied, which gives half a second.
 SLOWDOWN = 500
 # Long names make long events, which fill the kernel's buffers sooner.
 LONG_NAME = "entry-" + "x" * 58
@@ -102,7 +102,7 @@
             caller.request("POST", COMPLETIONS, make_completion(2000), AUTHORISED)
             caller.read_until(b"data: ")
             yield
-            self.assertEqual(self.find_attempt("running")["max_tokens"], 2000)
+            self.assertEqual(self.wait_for_attempt("running")["max_tokens"], 2000)
             self.engine.fault(slow=0)
             caller.buffer = caller.raw
             text = "".join(expected_tokens("memo", "hello", 2000))
@@ -113,7 +113,7 @@
             caller.send(data)
             return caller.read_answer()
 
-    def find_attempt(self, state):
+    def wait_for_attempt(self, state):
         """Return the newest attempt on the engine once it is in this state."""
 
         def check():
@@ -241,9 +241,9 @@
                     caller.request("POST", COMPLETIONS, body, AUTHORISED)
                     if stream:
                         caller.read_until(b"data: ")
-                    self.find_attempt("running")
+                    self.wait_for_attempt("running")
                     disconnect(caller, reset)
-                    self.find_attempt("cancelled")
+                    self.wait_for_attempt("cancelled")
         poll(lambda: self.entry.get("/-/status")[1]["in_flight"] == 0)
 
     def test_a_disconnect_of_a_pipelining_caller_cancels_the_engine(self):
@@ -255,9 +255,9 @@
             "POST", COMPLETIONS, make_completion(30_000, False, "two "), AUTHORISED
         )
         caller.request("GET", "/-/live")
-        self.find_attempt("running")
+        self.wait_for_attempt("running")
         disconnect(caller, reset=True)
-        self.find_attempt("cancelled")
+        self.wait_for_attempt("cancelled")
 
     def test_a_half_closed_caller_receives_the_whole_answer(self):
         # `printf ... | nc` sends the request, closes its sending half and waits. To the
@@ -307,8 +307,8 @@
 
 class TestReadiness(unittest.TestCase):
     def test_readiness_checks_are_not_counted_as_refused_requests(self):
-        # While an instance had no configuration yet, each readiness check of the load
-        # balancer was counted in the metrics as a customer's refused request.
+        # The load balancer's readiness checks of an instance without a configuration
+        # must not be counted in the metrics as a customer's refused requests.
         deployment = Deployment()
         self.addCleanup(deployment.close)
         entry = deployment.start_entry("one", ready=False)
@@ -418,7 +418,8 @@
             )
             caller.read_until(b"data: ")
             poll(has_stalled, 60)
-            # This covers the buffers of the kernel and the instance, but not 5 MB.
+            # The limit covers the buffers of the kernel and the instance, but not the
+            # whole answer of about 5 MB.
             self.assertLess(seen[-1], 2_000_000)
             other = complete(entry, stream=True)
             self.assertTrue(read_stream(other)[1], other.raw)
@@ -461,7 +462,8 @@
                 caller.fill()
 
     def test_pipelined_requests_are_answered_in_order(self):
-        # Hundreds of requests in one packet were once served recursively.
+        # A caller sends hundreds of requests in one packet. Serving them recursively
+        # would exhaust the stack.
         with self.check_other_stream(), Caller(self.port) as caller:
             caller.send(make_head("GET /-/live HTTP/1.1") * 600)
             for _ in range(600):
@@ -507,7 +509,7 @@
             self.assertNotIn("content-length", headers)
             self.assertTrue(caller.read_chunk().endswith(b"\n\n"))
             # The engine is still writing, so the chunk was passed on at once.
-            self.assertLess(self.find_attempt("running")["sent"], 2000)
+            self.assertLess(self.wait_for_attempt("running")["sent"], 2000)
             self.engine.fault(slow=0)
             while caller.read_chunk():
                 pass
