--- a/src/chervilwing/admission.py
+++ b/src/chervilwing/admission.py
@@ -8,11 +8,13 @@
 # Predictions err by about a quarter. Work admitted without this margin would often wait
 # and then miss its deadline.
 WAIT_MARGIN = 1.25
-# Seconds over the latency target after which a queue counts as standing, which only
-# adds delay (RFC 8289 makes the same distinction). A shorter excess is a burst.
+# How long, in seconds, the latency target must be exceeded before the queue counts as
+# standing: one that only adds delay (RFC 8289 makes the same distinction). A shorter
+# excess is a burst.
 STANDING_SECONDS = 0.25
-# Seconds below the target after which the next excess is a new burst. Refusals empty
-# the queue briefly; admitting all work again then would refill it each time.
+# How long, in seconds, the target must be met before the next excess counts as a new
+# burst. Refusals empty the queue for a moment; if that already ended the congestion,
+# all work would be admitted again and refill the queue.
 QUIET_SECONDS = 10.0
 # The wait for one completion is about exponentially distributed; the wait for many is
 # close to its mean. More than nine in ten waits are below the mean plus this many
@@ -79,8 +81,8 @@
 
 
 def make_pool_full_error(pool, retry_after):
-    """Return the error for work that the pool can't complete in time."""
-    detail = f"pool {pool} can't meet the deadline"
+    """Return the error for work that would miss its latency target or deadline."""
+    detail = f"pool {pool} can't serve the request in time"
     return PoolFull(detail, scope=Scope("pool", pool), retry_after=retry_after)
 
 
--- a/src/chervilwing/assignments.py
+++ b/src/chervilwing/assignments.py
@@ -61,7 +61,7 @@
     """Return how many loads each pool of the data centre may run at once."""
     # The holders of different pools don't communicate. Equal parts keep the sum of
     # their loads within the limit, unless there are more pools than loads: then each
-    # pool has one.
+    # pool may run one load.
     return max(1, limit // max(1, pools))
 
 
--- a/src/chervilwing/budgets.py
+++ b/src/chervilwing/budgets.py
@@ -1,10 +1,10 @@
 """Retry budgets, which bound the number of attempts per request."""
 
 # Retries that each first attempt earns, so that under saturation attempts stay below
-# 1.05 per request (RFC 5390: unbounded retries made 18 requests of one).
+# 1.05 per request (RFC 5390: unbounded retries turned one request into 18).
 RETRIES_PER_REQUEST = 0.05
-# Retries that a budget holds at most: enough for the requests in flight on one lost
-# upstream.
+# Maximum number of retries that a budget holds: enough for the requests in flight on
+# one lost upstream.
 MAX_RETRIES = 10.0
 
 
--- a/src/chervilwing/fleets.py
+++ b/src/chervilwing/fleets.py
@@ -24,13 +24,13 @@
 class Situation(NamedTuple):
     """The input of a plan.
 
-    ``needed`` is in slots, ``first_token`` the latency target in seconds;
-    ``data_centres`` gives the data centre of each zone.
+    ``first_token`` is the latency target in seconds, and ``data_centres`` gives the
+    data centre of each zone.
     """
 
     offers: tuple[Offer, ...]
     owned: tuple[Owned, ...]
-    needed: float
+    needed_slots: float
     machines: dict[str, Machine] = {}
     data_centres: dict[str, str] = {}
     first_token: float = float("inf")
@@ -42,18 +42,20 @@
     def __init__(self, fleet):
         self.fleet = fleet
         self.refusals = Refusals()
-        self._needed = 0.0
+        self._needed_slots = 0.0
         self._measured_at = 0.0
         self._first_measured_at = None
 
     def measure(self, slots, now):
-        """Record the slots in use and waited for; return the slots needed."""
+        """Record the slots in use or waited for; return their peak, which decays."""
         self._first_measured_at = (
             now if self._first_measured_at is None else self._first_measured_at
         )
-        decayed = self._needed * exp((self._measured_at - now) / NEED_DECAY_SECONDS)
-        self._needed, self._measured_at = max(slots, decayed), now
-        return self._needed
+        decayed = self._needed_slots * exp(
+            (self._measured_at - now) / NEED_DECAY_SECONDS
+        )
+        self._needed_slots, self._measured_at = max(slots, decayed), now
+        return self._needed_slots
 
     def plan(self, situation, now):
         """Return a Plan of at most one purchase or one return.
@@ -84,7 +86,7 @@
     def _make_need(self, situation, max_starts):
         fleet = self.fleet
         return Need(
-            situation.needed,
+            situation.needed_slots,
             DEFAULT_SLOTS,
             max_starts,
             zones_lost=1 if fleet.spare else 0,
--- a/src/chervilwing/orderer.py
+++ b/src/chervilwing/orderer.py
@@ -93,8 +93,8 @@
     def _list_engines(self, pool):
         """Return the engines of this data centre that report their loaded models.
 
-        An engine without a report serves every model, or its operators manage its
-        models.
+        An engine that doesn't report its models serves every model, or its operators
+        manage its models.
         """
         return [
             Engine(upstream, models)
--- a/src/chervilwing/orders.py
+++ b/src/chervilwing/orders.py
@@ -1,10 +1,11 @@
 """Send fenced orders to engines from one lease holder per pool and data centre.
 
-Engines that refuse an old fencing token are safe whatever process is paused. For
-engines that ignore it, ``margin`` and ``settle_time`` separate the old holder's orders
-from the new one's. For them this is not proved in two cases: an order whose sender is
-paused between the check of ``send_before`` and the send, or that the network delays for
-longer than ``settle_time``, arrives after the new holder's orders.
+An engine that refuses old fencing tokens never carries out an old holder's order after
+a newer one, whatever process is paused. For engines that ignore the token, ``margin``
+and ``settle_time`` keep the old holder's orders apart from the new holder's. This fails
+in two cases: the sender is paused between the check of ``send_before`` and the send, or
+the network delays an order for longer than ``settle_time``. The order may then arrive
+after the new holder's orders.
 """
 
 import hashlib
@@ -66,7 +67,7 @@
 
 
 class OrderSend(NamedTuple):
-    """Send the order unless ``send_before``, on the clock of ``now``, has passed."""
+    """Send the order, unless the monotonic time ``send_before`` has passed."""
 
     order_id: str
     order: Order
@@ -130,7 +131,10 @@
         return (self._send_order(order_id, order),)
 
     def may_act(self, now):
-        """Return whether only this holder may act on targets without fencing."""
+        """Return whether this holder may act on targets that ignore fencing tokens.
+
+        No earlier holder's order is then assumed to be in transit any more.
+        """
         return self.state == HOLDING and now < self._get_stop_time()
 
     def finish(self, order_id, newer_fence=None):
--- a/src/chervilwing/planner.py
+++ b/src/chervilwing/planner.py
@@ -6,8 +6,8 @@
 # Maximum utilisation of the slots; above it, the first token misses its target (it
 # holds at a load of 0.7 and fails at 1).
 MAX_UTILISATION = 0.75
-# Cost of a reclaim in hours of the instance's price: the start, the empty cache and the
-# work that moves.
+# Cost of one reclaim, as a multiple of the instance's hourly price: starting a
+# replacement, filling its cache and moving the work.
 RECLAIM_COST_HOURS = 0.25
 # Backoff of a refused offer in seconds, doubled each time up to the maximum.
 INITIAL_BACKOFF = 20.0
@@ -59,12 +59,11 @@
     """What a pool has to carry.
 
     ``busy_slots`` is the number of busy slots at the peak, and ``max_starts`` the
-    number of new instances that the weight store can serve in this round.
-    ``zones_lost`` is the number of largest zones whose loss must be survived,
-    ``spare_part`` the part of the load that must fit into the rest. ``slots_by_class``
-    gives the slots of machine classes that differ from ``slots_per_instance``;
-    ``data_centres`` gives the data centre of a zone if the loss of data centres counts
-    instead.
+    number of instances that may be started in this round. The loss of the
+    ``zones_lost`` largest zones must leave enough slots for the fraction ``spare_part``
+    of the load. ``slots_by_class`` gives the slots of machine classes that differ from
+    ``slots_per_instance``. ``data_centres`` maps zones to data centres; the zones of
+    one data centre count as one zone.
     """
 
     busy_slots: float
@@ -124,8 +123,9 @@
 def plan(need, owned, offers, refusals, now):
     """Return what to buy or return so that the loss of a zone is survived.
 
-    Offers are bought one by one: of those that add most to the slots left after the
-    loss of the largest zones, the cheapest. At most ``need.max_starts`` are bought.
+    Offers are chosen one by one: each time the one with the lowest effective price per
+    usable slot that it adds. At most ``need.max_starts`` are bought. Instances are
+    returned only if nothing is bought.
     """
     wanted_slots = need.busy_slots / MAX_UTILISATION
     slots = Counter()
@@ -142,7 +142,7 @@
 
 def _plan_buys(need, wanted_slots, slots, offers, missing_instances):
     slots = Counter(slots)
-    target = min(wanted_slots, _find_reachable(need, slots, offers))
+    target = min(wanted_slots, _find_max_usable(need, slots, offers))
     buys = []
     while offers and len(buys) < need.max_starts:
         usable = _count_usable(need, slots)
@@ -158,11 +158,11 @@
     return tuple(buys)
 
 
-def _find_reachable(need, slots, offers):
-    """Return the usable slots that can be reached, however many are bought.
+def _find_max_usable(need, slots, offers):
+    """Return the highest number of usable slots that buying these offers can give.
 
-    In a reclaim wave, all zones but one may refuse. Buying in that zone never makes its
-    own loss survivable, so without this limit it would go on endlessly.
+    In a reclaim wave, all zones but one may refuse. Instances bought in that zone can't
+    cover its own loss; without this bound, the planner would go on buying there.
     """
     zones = {_find_data_centre(need, offer) for offer in offers}
     if len(zones) > need.zones_lost:
@@ -179,8 +179,8 @@
     """Return the sort key of an offer: its price per usable slot that it adds.
 
     Two zones of equal size have to grow in turn before the slots left after a loss
-    increase. Offers that add none are therefore ordered by the slots of their zone as
-    well.
+    increase. Offers that add no usable slot are therefore also ordered by the slots of
+    their zone.
     """
     data_centre, added_slots = _find_data_centre(need, offer), _count_slots(need, offer)
     slots_after = slots + Counter({data_centre: added_slots})
@@ -195,7 +195,11 @@
 
 
 def _count_usable(need, slots):
-    """Return how many slots may be in use so that a loss leaves the spare part."""
+    """Return the highest load, in slots, that the loss of the largest zones permits.
+
+    The fraction ``spare_part`` of that load still fits after the loss. The result is at
+    most the number of all slots.
+    """
     if not need.spare_part:
         return slots.total()
     return min(slots.total(), count_remaining(slots, need.zones_lost) / need.spare_part)
--- a/src/chervilwing/purchases.py
+++ b/src/chervilwing/purchases.py
@@ -57,7 +57,7 @@
     """Return the owned instances: live upstreams, and purchases not listed yet.
 
     ``available`` are the names of listed instances that aren't leaving. ``machines``
-    gives the Machine of a machine class, ``default`` that of other classes.
+    maps machine classes to their Machine; ``default`` is the Machine of other classes.
     """
     markets = {
         purchase.instance: purchase.market
@@ -94,8 +94,8 @@
 def find_lost(purchases, available, listed_before, now):
     """Return a purchase whose instance is gone or was never listed, or None.
 
-    ``available`` are the names of listed instances that aren't leaving,
-    ``listed_before`` those of instances that were ever listed.
+    ``available`` are the names of listed instances that aren't leaving, and
+    ``listed_before`` the names of all instances that were ever listed.
     """
     for purchase in purchases:
         if purchase.state != BOUGHT or purchase.instance in available:
--- a/src/chervilwing/queues.py
+++ b/src/chervilwing/queues.py
@@ -15,9 +15,10 @@
 # A lane is a band with a size class of work.
 LANES = tuple((band, size) for band in BANDS for size in (SHORT, LONG))
 
-# Part of the service that a band is guaranteed while more urgent bands wait. It keeps a
-# customer with only less urgent work from starving behind another one's short requests,
-# and is small enough for those to meet their latency target.
+# Fraction of the service that a band is guaranteed while more urgent bands have queued
+# work. It keeps a customer with only less urgent work from starving behind another
+# customer's short requests, and is small enough for the short requests to meet their
+# latency target.
 GUARANTEED_SHARE = {0: 1.0, 1: 0.3, 2: 0.1}
 
 
@@ -47,7 +48,7 @@
         self.start_tag = 0.0
         self.size = 0
         self.cost = 0.0
-        self.served = Rate()
+        self.served_rate = Rate()
         self.heaps = {SHORT: [], LONG: []}
         self.active = set()
 
@@ -59,7 +60,7 @@
         self.size = 0
         self.cost = 0.0
         self.weight = 0.0
-        self.served = Rate()
+        self.served_rate = Rate()
         self.virtual_time = 0.0
         self.credit = 0.0
 
@@ -164,7 +165,7 @@
         band.credit = max(0.0, band.credit - item.cost)
         flow.start_tag += item.cost / flow.weight
         for totals in (flow, band):
-            totals.served.record(item.cost, now)
+            totals.served_rate.record(item.cost, now)
         for lower_band in BANDS[item.band + 1 :]:
             if self._bands[lower_band].size:
                 self._bands[lower_band].credit += (
@@ -191,7 +192,7 @@
         if flow is None or not flow.size:
             fair_rate = band_rate * weight / (totals.weight + weight)
             return urgent_cost / total_rate + cost / fair_rate
-        others_rate = totals.served.measure(now) - flow.served.measure(now)
+        others_rate = totals.served_rate.measure(now) - flow.served_rate.measure(now)
         fair_rate = band_rate * flow.weight / totals.weight
         return urgent_cost / total_rate + (flow.cost + cost) / max(
             fair_rate, band_rate - others_rate
--- a/src/chervilwing/retries.py
+++ b/src/chervilwing/retries.py
@@ -35,12 +35,13 @@
     counts_attempt: bool = True
 
 
-# EXHAUSTED means a resource shared with the other upstreams, so none of them is tried
-# (RFC 5390: retries at siblings of a full server made 18 requests of one). LEAVING uses
-# no budget: moves of accepted work are bounded by the number of running requests. PATH
-# uses none either. If there is no other upstream, it goes to the same one, which has
-# just answered on a new connection. Another upstream is preferred, because an upstream
-# may answer probes while its work hangs.
+# EXHAUSTED: a resource that the other upstreams share is used up, so none of them is
+# tried (RFC 5390: retries at siblings of a full server turned one request into 18).
+# LEAVING uses no budget, because the number of running requests bounds the moves of
+# accepted work.
+# PATH: old connections to the upstream are silent, although it has just answered on a
+# new one. A retry uses no budget. It prefers another upstream, because an upstream may
+# answer probes while its work hangs, but uses the same one if there is no other.
 RULES = {
     BUSY: RetryRule(not_run=True, retryable=True, budgeted=True, excludes=False),
     EXHAUSTED: RetryRule(not_run=True, retryable=False, budgeted=True, excludes=False),
@@ -89,7 +90,7 @@
 def make_not_retried_error(rule, work, upstream, retry_after):
     """Return the error for an attempt that isn't retried."""
     if rule.not_run:
-        detail = f"upstream {upstream} and those that share its limit are full"
+        detail = f"upstream {upstream} has no capacity and the request isn't retried"
         scope = Scope("pool", work.pool)
         return PoolFull(detail, scope=scope, retry_after=retry_after)
     detail = f"upstream {upstream} failed and the request isn't retried"
@@ -98,7 +99,7 @@
 
 
 def make_retry_budget_error(rule, work, retry_after):
-    """Return the error for a customer or pool without retry budget."""
+    """Return the error for a retry beyond the customer's or the pool's budget."""
     if rule.not_run:
         detail = f"the retry budget for pool {work.pool} is spent"
         scope = Scope("pool", work.pool)
--- a/src/chervilwing/upstreams.py
+++ b/src/chervilwing/upstreams.py
@@ -14,13 +14,14 @@
 # lasts longer. If work is shorter than the report interval, single reports are noise,
 # to which all entry instances would react at the same moment.
 SMOOTHING_SECONDS = 2.5
-# Part of this instance's net starts since the last report that each other entry
-# instance is assumed to have made too. In bursts that is all of them, otherwise hardly
-# any.
-CORRELATED_PART = 0.3
-# Seconds for which own starts and ends are kept if no report arrives.
+# Since the last report, each other entry instance is assumed to have made this fraction
+# of the net starts that this one made. The value is a compromise: in a burst, the other
+# instances start as many requests; otherwise, hardly any.
+CORRELATED_FRACTION = 0.3
+# Seconds for which this instance's starts and ends are kept if no report arrives.
 MAX_CHANGE_AGE = 5.0
-# Seconds without new work after a first busy answer, doubled up to the maximum.
+# Seconds for which an upstream gets no new work after a busy answer. Each further busy
+# answer doubles the pause, up to the maximum; a complete answer resets it.
 INITIAL_PAUSE = 0.1
 MAX_PAUSE = 2.0
 
@@ -51,7 +52,7 @@
         self.limit = Limit(upstream.slots)
         self.running = {}
         self.leaving = False
-        # None for an engine that doesn't report its models and so serves all of them.
+        # None if the engine doesn't report its models; it is then assumed to serve all.
         self.models = None
         self.down_since = None
         self.paused_until = 0.0
@@ -139,10 +140,10 @@
 
         Many entry instances see reports that are a second old, and all would send to
         the upstream that was least loaded then. The other instances see the same
-        reports, so a part of this instance's net starts since the report is assumed for
-        each of them as well.
+        reports, so a fraction of this instance's net starts since the report is assumed
+        for each of them too.
         """
         assumed_others = (
-            CORRELATED_PART * (self.entry_count - 1) * max(0, self._net_starts)
+            CORRELATED_FRACTION * (self.entry_count - 1) * max(0, self._net_starts)
         )
         self.load = len(self.running) + (self._others_load or 0.0) + assumed_others
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -60,7 +60,7 @@
         owned = buy_all(Need(60, 8, 4), SPOT[:1])
         self.assertEqual(len(owned), 10)
 
-    def test_starts_are_limited_by_the_weight_store(self):
+    def test_at_most_max_starts_are_bought(self):
         self.assertEqual(len(plan(Need(400, 8, 3), (), SPOT, Refusals(), 0.0).buys), 3)
 
     def test_a_small_surplus_is_kept_and_a_large_one_returned(self):
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -249,11 +249,12 @@
         self.assertEqual({placed.upstream for placed in placements}, {"u1"})
 
     def test_urgent_work_moves_first_and_free_slots_limit_the_moves(self):
-        """A zone receives notice while its surviving upstream has two free slots.
+        """One upstream gets a reclaim notice while the other has two free slots.
 
-        Moving all its work at once would overload the survivor, although the work can
-        still run where it is. Memos move before batch work; just before the end, all of
-        it moves.
+        Moving all its work at once would overload the other upstream, although the work
+        can still run where it is. So only two requests move: those of the class memo,
+        which is more urgent than batch. Just before the upstream is reclaimed, all of
+        its work moves; a request that ends in time doesn't.
         """
         scheduler = make_scheduler(size=2, slots=5)
         run_requests(scheduler, seconds=30.0)
@@ -270,8 +271,8 @@
     def test_work_slower_than_estimated_moves_before_its_upstream_ends(self):
         """An engine runs a long plan more slowly than the estimate.
 
-        By the estimate, the plan ends before the engine is reclaimed, so it was never
-        moved, and the engine went away with the plan half finished.
+        By the estimate, the plan ends before the engine is reclaimed. It must still be
+        moved at the last moment, or it would be lost half finished.
         """
         scheduler = make_scheduler()
         scheduler.offer(make_work("plan"), 0.0)
@@ -283,8 +284,8 @@
     def test_moves_in_a_reclaim_wave_do_not_count_as_attempts(self):
         """A wave reclaims five engines one after the other, each with notice.
 
-        A long plan moves each time. When the moves counted as attempts, the plan was
-        refused although other engines could run it.
+        A long plan moves each time. If the moves counted as attempts, the plan would
+        be refused although other engines can run it.
         """
         scheduler = make_scheduler(size=7)
         scheduler.offer(make_work("plan"), 0.0)
