--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -82,7 +82,7 @@
 
     def test_newer_fence_makes_the_holder_step_down(self):
         # An engine refuses an order because of a newer fence: the lease changed hands
-        # unnoticed. The refused order was not run; that of the unanswered one is
+        # unnoticed. The refused order was not run; whether the unanswered one ran is
         # unknown.
         self.acquire_lease()
         self.order_types(FENCED, NOW)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -128,8 +128,8 @@
         """By the last report two slots are free, and more work arrives.
 
         A single entry instance fills them and sends one request more, because it is
-        still below its share of the slots. One of eight assumes that the others start
-        requests as well.
+        still below its share of the slots. One of eight entry instances assumes that
+        the other seven start requests as well.
         """
         for entry_count, started in ((1, 3), (8, 1)):
             state = make_state(1, entry_count=entry_count)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -56,7 +56,7 @@
         self.assertTrue(refusals.allows(SPOT[0], 60.0))
 
     def test_single_zone_is_not_filled_beyond_the_need(self):
-        """All zones but one refuse; buying more there can't cover its own loss."""
+        """All zones but one refuse; buying more in that one can't cover its loss."""
         owned = buy_all(Need(60, 8, 4), SPOT[:1])
         self.assertEqual(len(owned), 10)
 
