--- a/src/chervilwing/claim_keys.py
+++ b/src/chervilwing/claim_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys that carry their time, and where their claims are stored."""
+"""Check idempotency keys (UUIDv7) and map them to the stored segment of their claim."""
 
 import hashlib
 import uuid
@@ -12,10 +12,11 @@
 
 
 class ClaimSettings(NamedTuple):
-    """Settings of the claims; times in seconds, sizes in bytes of JSON.
+    """Configure the claims; times in seconds, sizes in bytes of JSON.
 
-    Every instance must have the same ``shards``, ``slot`` and ``ring``. ``skew`` is
-    the largest difference between two clocks, callers' included.
+    All instances must use the same ``shards``, ``slot`` (the length of a time slot) and
+    ``ring`` (the number of cells of a shard, reused in turn). ``skew`` is the largest
+    difference between two clocks, callers' included.
     """
 
     shards: int = 16
@@ -24,23 +25,23 @@
     window: float = 600.0
     skew: float = 5.0
     run_limit: float = 120.0
-    claim_wait: float = 1.0
-    owner_wait: float = 0.05
-    suspect_for: float = 5.0
-    progress_wait: float = 1.0
-    probe_every: float = 1.0
-    fresh_for: float = 1.0
-    down_after: int = 2
+    claim_timeout: float = 1.0
+    owner_timeout: float = 0.05
+    suspect_time: float = 5.0
+    retry_after: float = 1.0
+    probe_interval: float = 1.0
+    max_copy_age: float = 1.0
+    max_unanswered: int = 2
     writes_per_second: float = 240.0
     write_burst: int = 4
-    settle_wait: float = 0.1
-    idle_for: float = 30.0
+    settle_delay: float = 0.1
+    cell_idle_time: float = 30.0
     segment_limit: int = 900_000
     outcome_limit: int = 2_048
 
 
 class ClaimKey(NamedTuple):
-    """A customer's UUIDv7; another customer's same UUID is another key."""
+    """Hold a customer's UUIDv7; another customer's same UUID is a different key."""
 
     customer: str
     uuid: str
@@ -50,14 +51,14 @@
 
 
 class Place(NamedTuple):
-    """Where a key's claim is stored: its shard and the number of its time slot."""
+    """Locate the claim of a key by its shard and the number of its time slot."""
 
     shard: int
     slot: int
 
 
 def read_time(key):
-    """Return the Unix seconds in a UUIDv7, else raise BadKey (RFC 9562, 5.7)."""
+    """Return the Unix time in seconds of a UUIDv7 (RFC 9562, 5.7), or raise BadKey."""
     try:
         parsed = uuid.UUID(key.uuid)
     except ValueError as exc:
@@ -68,7 +69,11 @@
 
 
 def locate(cfg, key, now):
-    """Return the key's place, or raise BadKey or KeyExpired for one out of time."""
+    """Return the ``Place`` of a key.
+
+    Raise BadKey if it is malformed or its time lies in the future, KeyExpired if it is
+    older than the window.
+    """
     time = read_time(key)
     if time > now + cfg.skew:
         raise BadKey("the key's time lies in the future", scope=_scope(key))
@@ -79,7 +84,7 @@
 
 
 def name_cell(cfg, place):
-    """Return the store key of a place; the ring bounds the number of cells."""
+    """Return the store key of a place's cell; a shard has ``cfg.ring`` cells."""
     return f"claims/{place.shard}/{place.slot % cfg.ring}"
 
 
--- a/src/chervilwing/claim_writer.py
+++ b/src/chervilwing/claim_writer.py
@@ -1,4 +1,4 @@
-"""Group commit of claims into segments by compare-and-swap."""
+"""Group commit of claims into stored segments by compare-and-swap."""
 
 import itertools
 import math
@@ -19,7 +19,7 @@
 from .segments import (
     CLAIM,
     DECLINED,
-    EMPTY,
+    EMPTY_SEGMENT,
     FULL,
     IN_PROGRESS,
     LOST,
@@ -28,67 +28,74 @@
     Ask,
     Segment,
     Verdict,
-    amend,
+    apply_asks,
     decode,
     encode,
-    judge,
+    evaluate,
 )
 
-# Verdicts that a later write may have overtaken.
-OPEN = {IN_PROGRESS, LOST}
+# States that a write by another instance may have changed since the last read.
+PROVISIONAL = {IN_PROGRESS, LOST}
 
 
 class Answer(NamedTuple):
-    """The verdict on an ask, for the instance that asked."""
+    """Carry the verdict on an ``Ask`` to the instance that sent it."""
 
     asker: str
     verdict: Verdict
 
 
 class Queued(NamedTuple):
-    """An ask that waits for a write: when to write it, and when it is too late."""
+    """Hold an ``Ask`` that waits for a write; times in Unix seconds.
+
+    It is written from ``due`` on; a claim is dropped at ``expires_at``.
+    """
 
     ask: Ask
     asker: str
     due: float
-    expires: float
+    expires_at: float
 
 
 class Cell:
-    """What the writer knows of one stored segment; ``base`` None: must be read."""
+    """Cache one stored segment; it must be read while ``segment`` is None.
+
+    ``draft`` is the segment being written and its size in bytes. ``uncertain_version``
+    is the expected version of a write that got no reply and may still take effect.
+    """
 
     def __init__(self, name, shard, now):
         self.name = name
         self.shard = shard
-        self.base = None
+        self.segment = None
         self.version = ABSENT
         self.size = 0
         self.draft = None
-        self.doubt = None
+        self.uncertain_version = None
         self.call = None
         self.queue = {}
-        self.touched = now
-        self.seen = now
+        self.used_at = now
+        self.read_at = now
 
     def has_claims(self):
-        """Tell whether a caller waits for a write of this cell."""
+        """Return whether claims are queued, whose callers wait for the write."""
         return any(kind == CLAIM for _, kind in self.queue)
 
-    def adopt(self, segment, version, size):
-        """Take what the store holds now."""
-        self.base = segment
+    def update(self, segment, version, size):
+        """Set the segment, version and size in bytes that the store now holds."""
+        self.segment = segment
         self.version = version
         self.size = size
-        if version != self.doubt:
-            self.doubt = None
+        if version != self.uncertain_version:
+            self.uncertain_version = None
 
 
 class Writer:
-    """Write asks in batches, one call at a time for each cell.
+    """Write asks to the store in batches, one call at a time for each cell.
 
-    Compare-and-swap alone keeps two writers of one cell apart: a writer that was
-    paused, or that a stale list calls the owner, shows as a rejected write, and it
-    judges its asks again by what stands. Ownership only saves writes.
+    Safety relies on compare-and-swap alone: the write of a paused writer, or of one
+    that a stale member list names as owner, is rejected, and its asks are evaluated
+    again with the stored segment. Ownership only reduces the number of writes.
     """
 
     def __init__(self, cfg, instance):
@@ -99,62 +106,64 @@
         self._cells = {}
         self._active = {}
         self._calls = {}
-        self._next_write = {}
-        self._lines = {}
+        self._next_write_at = {}
+        self._waiting = {}
         self._claims_next = {}
-        self._silent = 0
+        self._unanswered = 0
         self._probe_at = math.inf
         self._sweep_at = 0.0
 
-    def back_in(self, now):
-        """Return the seconds until the store is tried again."""
-        wait = self._probe_at - now if self.down else self.cfg.probe_every
-        return min(max(wait, 0.1), self.cfg.probe_every)
+    def retry_delay(self, now):
+        """Return the seconds until the store is tried again, 0.1 or more."""
+        wait = self._probe_at - now if self.down else self.cfg.probe_interval
+        return min(max(wait, 0.1), self.cfg.probe_interval)
 
     def submit(self, asker, ask, now):
-        """Queue an ask; return calls and answers."""
+        """Queue an ``Ask``; return store calls and answers."""
         if self.down and ask.kind == CLAIM:
             return (_decline(asker, ask),)
-        cell = self._open(ask.place, now)
+        cell = self._get_cell(ask.place, now)
         if ask.kind == RELEASE:
             cell.queue.pop((ask.operation, CLAIM), None)
-        due = now + (self.cfg.settle_wait if ask.kind == SETTLE else 0.0)
-        queued = Queued(ask, asker, due, now + self.cfg.claim_wait)
+        due = now + (self.cfg.settle_delay if ask.kind == SETTLE else 0.0)
+        queued = Queued(ask, asker, due, now + self.cfg.claim_timeout)
         cell.queue[ask.operation, ask.kind] = queued
         self._active[cell.name] = cell
         return self._advance(cell, now)
 
     def receive(self, token, reply, now):
-        """Take the reply to a call; return calls and answers."""
+        """Handle the reply to a store call; return more calls and answers."""
         cell = self._calls.pop(token, None)
         if cell is None:
             return ()
         call, cell.call = cell.call, None
         if isinstance(reply, Unanswered):
-            return self._take_silence(cell, call, now)
-        ADOPTS[type(reply)](cell, reply)
-        cell.seen = now
-        self._silent = 0
+            return self._handle_unanswered(cell, call, now)
+        REPLY_HANDLERS[type(reply)](cell, reply)
+        cell.read_at = now
+        self._unanswered = 0
         was_down, self.down = self.down, False
         cells = list(self._active.values()) if was_down else [cell]
         return _flatten(self._advance(cell, now) for cell in cells)
 
     def tick(self, now):
-        """Write what has come due, probe a silent store, forget idle cells."""
+        """Write due asks, probe a store that is down, drop idle cells."""
         if now >= self._sweep_at:
             self._sweep(now)
         if self.down:
             return self._probe(now)
         cells = list(self._active.values())
         actions = _flatten(self._advance(cell, now) for cell in cells)
-        return actions + _flatten(self._serve(shard, now) for shard in self._lines)
+        return actions + _flatten(
+            self._write_waiting(shard, now) for shard in self._waiting
+        )
 
-    def _open(self, place, now):
+    def _get_cell(self, place, now):
         name = name_cell(self.cfg, place)
         cell = self._cells.get(name)
         if cell is None:
             cell = self._cells[name] = Cell(name, place.shard, now)
-        cell.touched = now
+        cell.used_at = now
         return cell
 
     def _advance(self, cell, now):
@@ -162,106 +171,111 @@
             return ()
         if cell.queue and self._must_read(cell, now):
             return (self._send(cell, Read(cell.name)),)
-        answers = self._answer(cell, now)
+        answers = self._answer_queued(cell, now)
         if not cell.queue:
-            self._leave_line(cell)
+            self._remove_waiting(cell)
             self._active.pop(cell.name, None)
             return answers
         if not any(queued.due <= now for queued in cell.queue.values()):
             return answers
-        if self._lines.get(cell.shard) or not self._take_turn(cell.shard, now):
-            self._lines.setdefault(cell.shard, {})[cell.name] = cell
+        if self._waiting.get(cell.shard) or not self._take_write_permit(
+            cell.shard, now
+        ):
+            self._waiting.setdefault(cell.shard, {})[cell.name] = cell
             return answers
         return (*answers, *self._write(cell))
 
-    def _serve(self, shard, now):
-        """Write the cells in a shard's line while its pace allows.
+    def _write_waiting(self, shard, now):
+        """Write the waiting cells of a shard while its write rate allows.
 
-        Load: at the peak every second's cell of the last half minute has outcomes to
-        write. First come first served, a claim waited behind them for longer than its
-        caller does; claims first, outcomes would never be written. So they alternate,
-        and each has half of the writes while both wait.
+        At peak load each second's cell of the last half minute has outcomes to write.
+        In order of arrival, a claim would wait behind them for longer than its caller
+        does; with claims first, outcomes would never be written. So cells with claims
+        and cells without alternate, and each kind gets half of the writes while both
+        wait.
         """
         actions = []
-        while cell := self._pick(shard):
-            if not self._take_turn(shard, now):
+        while cell := self._pick_waiting(shard):
+            if not self._take_write_permit(shard, now):
                 break
             self._claims_next[shard] = not cell.has_claims()
-            self._leave_line(cell)
+            self._remove_waiting(cell)
             actions += self._write(cell)
         return actions
 
-    def _pick(self, shard):
-        free = [cell for cell in self._lines[shard].values() if cell.call is None]
+    def _pick_waiting(self, shard):
+        free = [cell for cell in self._waiting[shard].values() if cell.call is None]
         claims_next = self._claims_next.get(shard, True)
         wanted = [cell for cell in free if cell.has_claims() == claims_next]
         return next(iter(wanted or free), None)
 
-    def _leave_line(self, cell):
-        self._lines.get(cell.shard, {}).pop(cell.name, None)
+    def _remove_waiting(self, cell):
+        self._waiting.get(cell.shard, {}).pop(cell.name, None)
 
     def _must_read(self, cell, now):
-        # Another writer may have recorded the outcome or freed the key: a stale copy
-        # would go on saying "in progress", then "unknown" of a key that is known.
-        if cell.base is None or now - cell.seen <= self.cfg.fresh_for:
-            return cell.base is None
+        # Another writer may have recorded the outcome or released the key: with a stale
+        # copy the verdict would stay "in progress", and then become "lost".
+        if cell.segment is None or now - cell.read_at <= self.cfg.max_copy_age:
+            return cell.segment is None
         asks = [queued.ask for queued in cell.queue.values()]
-        verdicts = (self._judge(cell, ask, now) for ask in asks)
-        return any(verdict and verdict.state in OPEN for verdict in verdicts)
+        verdicts = (self._evaluate(cell, ask, now) for ask in asks)
+        return any(verdict and verdict.state in PROVISIONAL for verdict in verdicts)
 
-    def _answer(self, cell, now):
+    def _answer_queued(self, cell, now):
         answers = []
         for name, queued in list(cell.queue.items()):
-            verdict = self._judge(cell, queued.ask, now)
+            verdict = self._evaluate(cell, queued.ask, now)
             if verdict is not None:
                 answers.append(Answer(queued.asker, verdict))
-            if verdict is not None or self._is_late(queued, now):
+            if verdict is not None or self._has_expired(queued, now):
                 del cell.queue[name]
         return answers
 
-    def _judge(self, cell, ask, now):
-        # A write whose answer was lost may still take effect until the version moves
-        # on. It would bring back a claim that was released; so a release waits for
-        # a write of ours, which makes the lost one fail its compare-and-swap.
-        may_return = cell.doubt is not None and cell.base.slot <= ask.place.slot
-        if ask.kind == RELEASE and may_return:
+    def _evaluate(self, cell, ask, now):
+        # A write whose reply was lost may still take effect until the version changes,
+        # and would bring a released claim back. So a release waits for a later write by
+        # this instance, after which the lost write fails its compare-and-swap.
+        may_reappear = (
+            cell.uncertain_version is not None and cell.segment.slot <= ask.place.slot
+        )
+        if ask.kind == RELEASE and may_reappear:
             return None
-        return judge(cell.base, ask, now, self.cfg.skew)
+        return evaluate(cell.segment, ask, now, self.cfg.skew)
 
     @staticmethod
-    def _is_late(queued, now):
-        return queued.ask.kind == CLAIM and now > queued.expires
+    def _has_expired(queued, now):
+        return queued.ask.kind == CLAIM and now > queued.expires_at
 
     def _write(self, cell):
         asks = [queued.ask for queued in cell.queue.values()]
-        slot = max([cell.base.slot, *(ask.place.slot for ask in asks)])
+        slot = max([cell.segment.slot, *(ask.place.slot for ask in asks)])
         asks = [ask for ask in asks if ask.place.slot == slot]
-        used = cell.size if slot == cell.base.slot else 0
-        base = cell.base if slot == cell.base.slot else Segment(slot, {})
-        draft, left_out = amend(base, asks, self.cfg.segment_limit - used)
-        answers = [self._turn_away(cell, ask) for ask in left_out]
+        used = cell.size if slot == cell.segment.slot else 0
+        segment = cell.segment if slot == cell.segment.slot else Segment(slot, {})
+        draft, rejected = apply_asks(segment, asks, self.cfg.segment_limit - used)
+        answers = [self._refuse_as_full(cell, ask) for ask in rejected]
         if not cell.queue:
             return answers
         value = encode(draft)
         cell.draft = draft, len(value)
         return (*answers, self._send(cell, Write(cell.name, value, cell.version)))
 
-    def _take_turn(self, shard, now):
-        """Spend one of the shard's writes, or return False until the next is due.
+    def _take_write_permit(self, shard, now):
+        """Take a write from the shard's rate limit; return False until one is due.
 
-        Load: the whole fleet's keyed requests at the peak. Without the pace each
-        request would be a write and the store would refuse them all; claims wait
-        for the next write of their batch instead, at most ``interval`` a dirty cell.
+        Without the limit each keyed request of the fleet would be a write, and at peak
+        load the store would refuse them all. Instead claims wait for the next batch of
+        their cell, at most ``_interval`` seconds for each cell with queued asks.
         """
         slack = self._interval * (self.cfg.write_burst - 1)
-        next_write = max(self._next_write.get(shard, 0.0), now)
+        next_write = max(self._next_write_at.get(shard, 0.0), now)
         if next_write - now > slack + 1e-9:
             return False
-        self._next_write[shard] = next_write + self._interval
+        self._next_write_at[shard] = next_write + self._interval
         return True
 
     @staticmethod
-    def _turn_away(cell, ask):
+    def _refuse_as_full(cell, ask):
         queued = cell.queue.pop((ask.operation, ask.kind))
         return Answer(queued.asker, Verdict(CLAIM, ask.operation, FULL))
 
@@ -271,17 +285,17 @@
         self._calls[token] = cell
         return StoreCall(token, request)
 
-    def _take_silence(self, cell, call, now):
-        # Unanswered is neither yes nor no: the cell is read again, and an ask counts
-        # as written only if its own operation id stands there.
+    def _handle_unanswered(self, cell, call, now):
+        # The write may or may not have taken effect: the cell is read again, and an ask
+        # counts as written only if its operation id is in the stored segment.
         if isinstance(call, Write):
-            cell.base = None
-            cell.doubt = call.expect
-        self._silent += 1
-        if self._silent < self.cfg.down_after:
+            cell.segment = None
+            cell.uncertain_version = call.expect
+        self._unanswered += 1
+        if self._unanswered < self.cfg.max_unanswered:
             return self._advance(cell, now)
         self.down = True
-        self._probe_at = now + self.cfg.probe_every
+        self._probe_at = now + self.cfg.probe_interval
         return self._decline_all()
 
     def _decline_all(self):
@@ -296,28 +310,28 @@
     def _probe(self, now):
         if now < self._probe_at:
             return ()
-        self._probe_at = now + self.cfg.probe_every
+        self._probe_at = now + self.cfg.probe_interval
         idle = [cell for cell in self._active.values() if cell.call is None]
         slot = int(now // self.cfg.slot)
-        cell = idle[0] if idle else self._open(Place(0, slot), now)
+        cell = idle[0] if idle else self._get_cell(Place(0, slot), now)
         if cell.call is not None:
             return ()
         return (self._send(cell, Read(cell.name)),)
 
     def _sweep(self, now):
-        self._sweep_at = now + self.cfg.idle_for
+        self._sweep_at = now + self.cfg.cell_idle_time
         for name, cell in list(self._cells.items()):
-            self._drop_late(cell, now)
-            idle = now - cell.touched > self.cfg.idle_for
+            self._drop_expired(cell, now)
+            idle = now - cell.used_at > self.cfg.cell_idle_time
             if idle and cell.call is None and not cell.queue:
                 del self._cells[name]
                 self._active.pop(name, None)
 
-    def _drop_late(self, cell, now):
-        # Through an outage, outcomes that nobody may record any more add up.
-        too_late = now - self.cfg.skew
+    def _drop_expired(self, cell, now):
+        # During an outage, outcomes pile up that may no longer be recorded.
+        cutoff = now - self.cfg.skew
         for name, queued in list(cell.queue.items()):
-            if queued.ask.run_until < too_late:
+            if queued.ask.run_until < cutoff:
                 del cell.queue[name]
 
 
@@ -325,26 +339,26 @@
     return Answer(asker, Verdict(ask.kind, ask.operation, DECLINED))
 
 
-def _adopt_value(cell, reply):
+def _update_from_value(cell, reply):
     if reply.version == ABSENT:
-        return _adopt_missing(cell, reply)
-    return cell.adopt(decode(reply.value), reply.version, len(reply.value))
+        return _update_to_missing(cell, reply)
+    return cell.update(decode(reply.value), reply.version, len(reply.value))
 
 
-def _adopt_missing(cell, reply):
-    cell.adopt(EMPTY, ABSENT, 0)
+def _update_to_missing(cell, reply):
+    cell.update(EMPTY_SEGMENT, ABSENT, 0)
 
 
-def _adopt_draft(cell, reply):
+def _update_from_draft(cell, reply):
     draft, size = cell.draft
-    cell.adopt(draft, reply.version, size)
+    cell.update(draft, reply.version, size)
 
 
-ADOPTS = {
-    Found: _adopt_value,
-    Rejected: _adopt_value,
-    Missing: _adopt_missing,
-    Written: _adopt_draft,
+REPLY_HANDLERS = {
+    Found: _update_from_value,
+    Rejected: _update_from_value,
+    Missing: _update_to_missing,
+    Written: _update_from_draft,
 }
 
 
--- a/src/chervilwing/claimant.py
+++ b/src/chervilwing/claimant.py
@@ -1,4 +1,4 @@
-"""Claim idempotency keys before a call that must not be repeated goes out."""
+"""Claim the idempotency key of a non-idempotent call before it is sent."""
 
 import json
 import time
@@ -18,7 +18,7 @@
 
 
 def encode_outcome(status, content_type, body):
-    """Return an answer as it is kept with its key, without bytes that are no text."""
+    """Return the outcome to record for a response, without a body that isn't UTF-8."""
     try:
         text = body.decode()
     except UnicodeDecodeError:
@@ -27,7 +27,7 @@
 
 
 class Claimant(BaseComponent):
-    """Drive the ledger of one instance for the sessions that need a claim."""
+    """Run the ``Ledger`` of an instance for the sessions that need a claim."""
 
     channel = "claimant"
 
@@ -38,36 +38,42 @@
         self._sessions = {}
         settings = ClaimSettings(run_limit=cfg.request_timeout)
         self._ledger = Ledger(settings, cfg.name)
-        peers.subscribe((Ask, Verdict), self._hear)
+        peers.subscribe((Ask, Verdict), self._on_peer_message)
 
     def enlist(self, names):
-        """Take the live entry instances that may own shards."""
+        """Set the names of the live entry instances, which may own shards."""
         self._ledger.enlist(names)
 
     def is_idle(self):
-        """Tell whether no outcome waits to be recorded: a stop must not lose one."""
+        """Return whether no outcome waits to be recorded.
+
+        A shutdown waits for this, so that no outcome is lost.
+        """
         return self._ledger.is_idle()
 
-    def claim(self, session, granted):
-        """Claim the session's key; ``granted`` goes on, or the caller is answered."""
+    def claim(self, session, on_granted):
+        """Claim the session's key, then call ``on_granted`` with the session.
+
+        If the claim isn't granted, the caller gets the recorded outcome or an error.
+        """
         req = session.exchange.req
         key = ClaimKey(session.target.customer.name, req.headers[KEY_HEADER])
-        self._sessions[session.serial] = (session, granted)
+        self._sessions[session.serial] = (session, on_granted)
         session.claimant = self
         fingerprint = make_fingerprint(req)
         self._apply(self._ledger.claim(session.serial, key, fingerprint, time.time()))
 
     def may_start(self, session):
-        """Tell whether the claim still lets the call be sent."""
+        """Return whether the session's call may still be sent under its claim."""
         return self._ledger.may_start(session.serial, time.time())
 
     def settle(self, session, status, content_type, body):
-        """Record the answer that every repetition of the key gets."""
+        """Record the response that each repetition of the key gets."""
         outcome = encode_outcome(status, content_type, body)
         self._apply(self._ledger.settle(session.serial, outcome, time.time()))
 
     def fail(self, session, exc):
-        """Free the key of a call that was not run; record any other failure."""
+        """Release the key of a call that was not run; record any other failure."""
         self._sessions.pop(session.serial, None)
         if exc.outcome == NOT_RUN:
             self._apply(self._ledger.release(session.serial, time.time()))
@@ -80,10 +86,10 @@
     def _on_tick(self):
         self._apply(self._ledger.tick(time.time()))
 
-    def _hear(self, sender, message):
+    def _on_peer_message(self, sender, message):
         self._apply(self._ledger.hear(sender, message, time.time()))
 
-    def _received(self, token, reply):
+    def _on_reply(self, token, reply):
         self._apply(self._ledger.receive(token, reply, time.time()))
 
     def _apply(self, actions):
@@ -91,20 +97,20 @@
             APPLIERS[type(action)](self, action)
 
     def _call(self, action):
-        self._store.carry(action, self._received)
+        self._store.carry(action, self._on_reply)
 
     def _forward(self, action):
         self._peers.forward(action.instance, action.message)
 
-    def _grant(self, action):
-        session, granted = self._sessions.pop(action.operation, (None, None))
-        # The caller may have gone, or been refused, while the claim was written.
+    def _on_granted(self, action):
+        session, on_granted = self._sessions.pop(action.operation, (None, None))
+        # The caller may have disconnected or been refused while the claim was written.
         if session is None or session.closed:
             self._apply(self._ledger.release(action.operation, time.time()))
             return
-        granted(session)
+        on_granted(session)
 
-    def _repeat(self, action):
+    def _on_recorded(self, action):
         session, _ = self._sessions.pop(action.operation, (None, None))
         if session is None or session.closed:
             return
@@ -120,7 +126,7 @@
         )
         session.close()
 
-    def _refuse(self, action):
+    def _on_refused(self, action):
         session, _ = self._sessions.pop(action.operation, (None, None))
         if session is not None:
             session.refuse(action.failure)
@@ -129,7 +135,7 @@
 APPLIERS = {
     StoreCall: Claimant._call,
     Forward: Claimant._forward,
-    ClaimGranted: Claimant._grant,
-    ClaimRecorded: Claimant._repeat,
-    ClaimRefused: Claimant._refuse,
+    ClaimGranted: Claimant._on_granted,
+    ClaimRecorded: Claimant._on_recorded,
+    ClaimRefused: Claimant._on_refused,
 }
--- a/src/chervilwing/claims.py
+++ b/src/chervilwing/claims.py
@@ -1,6 +1,6 @@
-"""Claims to keys: non-idempotent work runs at most once across entry instances.
+"""Claim idempotency keys, so that non-idempotent work runs at most once in the fleet.
 
-The ways weighed and the figures are in docs/design/AT-MOST-ONCE.md.
+The alternatives considered and the figures are in docs/design/AT-MOST-ONCE.md.
 """
 
 import math
@@ -39,15 +39,15 @@
     Claim,
     Outcome,
     Verdict,
-    judge_claim,
+    evaluate_claim,
 )
 
-# Owners tried before the instance writes by itself.
-MAX_HOPS = 2
+# Owners that an instance sends an ask to before it writes to the store itself.
+MAX_OWNERS_TRIED = 2
 
 
 class ClaimGranted(NamedTuple):
-    """The request may be sent, to start and end before ``run_until`` (Unix seconds)."""
+    """Allow the request to be sent; it must end before ``run_until`` (Unix seconds)."""
 
     operation: str
     key: ClaimKey
@@ -55,7 +55,7 @@
 
 
 class ClaimRecorded(NamedTuple):
-    """The key has run; this is the answer that its caller gets."""
+    """Report that the key has already run; the caller gets the recorded outcome."""
 
     operation: str
     key: ClaimKey
@@ -63,31 +63,31 @@
 
 
 class ClaimRefused(NamedTuple):
-    """The request must not be sent; the failure says why."""
+    """Forbid sending the request, for the reason in ``failure``."""
 
     operation: str
     key: ClaimKey
     failure: ChervilwingError
 
 
-class Pending:
-    """An ask of this instance that has no verdict yet."""
+class PendingAsk:
+    """Hold an ``Ask`` of this instance that has no verdict yet."""
 
     def __init__(self, ask, give_up_at):
         self.ask = ask
         self.give_up_at = give_up_at
-        self.hops = 0
+        self.owners_tried = 0
         self.owner = None
-        self.sent = False
-        self.received = False
+        self.maybe_written = False
+        self.acknowledged = False
         self.resend_at = math.inf
 
 
 class Ledger:
-    """The claims that this instance holds, and those that it writes for others.
+    """Manage the claims that this instance holds and those it writes for its peers.
 
-    Every ``operation`` must be unique among all instances and restarts. After a
-    ``ClaimGranted`` the caller settles, or releases if no byte has been sent.
+    An ``operation`` id must be unique across all instances and restarts. After a
+    ``ClaimGranted`` call ``settle``, or ``release`` if no byte has been sent.
     """
 
     def __init__(self, cfg, instance):
@@ -96,7 +96,7 @@
         self._writer = Writer(cfg, instance)
         self._members = (instance,)
         self._owners = {}
-        self._suspects = {}
+        self._suspected_until = {}
         self._pending = {}
         self._held = {}
         self._by_key = {}
@@ -104,28 +104,34 @@
         self._sweep_at = 0.0
 
     def enlist(self, members):
-        """Take the entry instances that may own shards; disagreement costs writes."""
+        """Set the entry instances that may own shards.
+
+        Instances may hold different lists: that only costs rejected writes.
+        """
         self._members = tuple(sorted({*members, self.instance}))
         self._owners.clear()
 
     def claim(self, operation, key, fingerprint, now):
-        """Ask for the right to run a key; the actions tell, now or later."""
+        """Request the right to run a key; return actions.
+
+        The result is among these actions or those of a later call.
+        """
         try:
             place = locate(self.cfg, key, now)
         except (BadKey, KeyExpired) as exc:
             return (ClaimRefused(operation, key, exc),)
         run_until = now + self.cfg.run_limit
         ask = Ask(CLAIM, key, place, operation, fingerprint, self.instance, run_until)
-        first = self._by_key.get(key)
-        if first == operation:
+        earlier = self._by_key.get(key)
+        if earlier == operation:
             return ()
-        if first is not None:
-            return self._answer_here(first, ask, now)
+        if earlier is not None:
+            return self._answer_from_own_claims(earlier, ask, now)
         self._by_key[key] = operation
-        return self._start(ask, now + self.cfg.claim_wait, now)
+        return self._start(ask, now + self.cfg.claim_timeout, now)
 
     def settle(self, operation, outcome, now):
-        """Record the answer of a granted claim; a body over the limit is left out."""
+        """Record the outcome of a granted claim, without a body over the size limit."""
         ask = self._held.get(operation)
         if ask is None or ask.outcome is not None or now > ask.run_until:
             return ()
@@ -135,7 +141,7 @@
         return self._start(ask, ask.run_until, now)
 
     def release(self, operation, now):
-        """Free the key of a claim whose request was not sent and never will be."""
+        """Release the key of a claim whose request was not sent and never will be."""
         ask = self._held.get(operation)
         if ask is not None and ask.outcome is None:
             del self._held[operation]
@@ -144,159 +150,164 @@
         return self._abandon(pending.ask, now) if pending else ()
 
     def may_start(self, operation, now):
-        """Tell whether a granted claim still lets its request be sent."""
+        """Return whether the request of a granted claim may still be sent."""
         ask = self._held.get(operation)
         return ask is not None and ask.outcome is None and now < ask.run_until
 
     def is_idle(self):
-        """Tell whether nothing is asked, running or waiting to be recorded."""
+        """Return whether no ask is pending and no claimed request is running."""
         running = any(ask.outcome is None for ask in self._held.values())
         return not self._pending and not running
 
     def hear(self, sender, message, now):
-        """Take an ask or a verdict from another instance."""
-        self._suspects.pop(sender, None)
+        """Handle an ``Ask`` or ``Verdict`` from another instance; return actions."""
+        self._suspected_until.pop(sender, None)
         if isinstance(message, Verdict):
-            return self._conclude(message, sender, now)
+            return self._handle_verdict(message, sender, now)
         if self._is_stale(message, now):
             return ()
-        actions = self._take(self._writer.submit(sender, message, now), now)
-        if any(_answers(action, sender, message) for action in actions):
+        actions = self._apply_outputs(self._writer.submit(sender, message, now), now)
+        if any(_is_verdict_for(action, sender, message) for action in actions):
             return actions
         receipt = Verdict(message.kind, message.operation, QUEUED)
         return (*actions, Forward(sender, receipt))
 
     def receive(self, token, reply, now):
-        """Take the store's reply to a call."""
-        return self._take(self._writer.receive(token, reply, now), now)
+        """Handle the store's reply to a call; return actions."""
+        return self._apply_outputs(self._writer.receive(token, reply, now), now)
 
     def tick(self, now):
-        """Do what time has made due; call it every 10 to 50 ms."""
+        """Perform due writes, retries and timeouts; call it every 10 to 50 ms."""
         if now >= self._sweep_at:
             self._sweep(now)
-        actions = list(self._take(self._writer.tick(now), now))
+        actions = list(self._apply_outputs(self._writer.tick(now), now))
         for name, pending in list(self._pending.items()):
             if self._pending.get(name) is not pending:
                 continue
             if now >= pending.give_up_at:
-                actions += self._give_up(pending, now)
+                actions += self._time_out(pending, now)
             elif now >= pending.resend_at:
-                actions += self._pass_over(pending, now)
+                actions += self._try_next_owner(pending, now)
         return tuple(actions)
 
-    def _answer_here(self, first, ask, now):
-        pending = self._pending.get((first, CLAIM))
-        known = pending.ask if pending else self._held[first]
+    def _answer_from_own_claims(self, earlier, ask, now):
+        pending = self._pending.get((earlier, CLAIM))
+        own = pending.ask if pending else self._held[earlier]
         claim = Claim(
-            known.operation,
-            known.fingerprint,
-            known.holder,
-            known.run_until,
-            known.outcome,
+            own.operation,
+            own.fingerprint,
+            own.holder,
+            own.run_until,
+            own.outcome,
         )
-        verdict = judge_claim(claim, ask, now, self.cfg.skew)
-        return self._report(ask, verdict)
+        verdict = evaluate_claim(claim, ask, now, self.cfg.skew)
+        return self._report_verdict(ask, verdict)
 
     def _start(self, ask, give_up_at, now):
-        pending = Pending(ask, give_up_at)
+        pending = PendingAsk(ask, give_up_at)
         self._pending[ask.operation, ask.kind] = pending
         return self._route(pending, now)
 
     def _route(self, pending, now):
         ask = pending.ask
         pending.owner = self._find_owner(ask.place.shard, now)
-        if pending.hops >= MAX_HOPS:
+        if pending.owners_tried >= MAX_OWNERS_TRIED:
             pending.owner = self.instance
         if pending.owner != self.instance:
-            pending.sent = True
-            pending.resend_at = now + self.cfg.owner_wait
+            pending.maybe_written = True
+            pending.resend_at = now + self.cfg.owner_timeout
             return (Forward(pending.owner, ask),)
-        pending.sent = pending.sent or not self._writer.down
+        pending.maybe_written = pending.maybe_written or not self._writer.down
         pending.resend_at = math.inf
-        return self._take(self._writer.submit(self.instance, ask, now), now)
+        return self._apply_outputs(self._writer.submit(self.instance, ask, now), now)
 
     def _find_owner(self, shard, now):
         if shard not in self._owners:
             self._owners[shard] = rank(f"claims/{shard}", self._members)
         ranked = self._owners[shard]
-        trusted = (name for name in ranked if self._suspects.get(name, 0.0) <= now)
-        return next(trusted, self.instance)
-
-    def _pass_over(self, pending, now):
-        # A frozen or cut off owner shows as silence. Another instance may write the
-        # same ask: its operation id makes the second write a repeat of the first.
-        if not pending.received:
-            self._suspects[pending.owner] = now + self.cfg.suspect_for
-        pending.received = False
-        pending.hops += 1
+        candidates = (
+            name for name in ranked if self._suspected_until.get(name, 0.0) <= now
+        )
+        return next(candidates, self.instance)
+
+    def _try_next_owner(self, pending, now):
+        # A frozen or unreachable owner doesn't reply. Another instance may write the
+        # same ask: the operation id makes the second write a repeat of the first.
+        if not pending.acknowledged:
+            self._suspected_until[pending.owner] = now + self.cfg.suspect_time
+        pending.acknowledged = False
+        pending.owners_tried += 1
         return self._route(pending, now)
 
-    def _give_up(self, pending, now):
+    def _time_out(self, pending, now):
         if pending.ask.kind != CLAIM:
             del self._pending[pending.ask.operation, pending.ask.kind]
             return ()
         return self._decline(pending, now)
 
-    def _take(self, outputs, now):
+    def _apply_outputs(self, outputs, now):
         actions = []
         for output in outputs:
             if not isinstance(output, Answer):
                 actions.append(output)
             elif output.asker == self.instance:
-                actions += self._conclude(output.verdict, self.instance, now)
+                actions += self._handle_verdict(output.verdict, self.instance, now)
             else:
                 actions.append(Forward(output.asker, output.verdict))
         return tuple(actions)
 
-    def _conclude(self, verdict, sender, now):
+    def _handle_verdict(self, verdict, sender, now):
         pending = self._pending.get((verdict.operation, verdict.kind))
         if pending is None:
-            return self._take_stray(verdict, now)
+            return self._release_stray_grant(verdict, now)
         if verdict.state == QUEUED:
-            self._wait_on(pending, now)
+            self._extend_wait(pending, now)
             return ()
         if verdict.state == DECLINED and sender != self.instance:
-            pending.hops = MAX_HOPS
+            pending.owners_tried = MAX_OWNERS_TRIED
             return self._route(pending, now)
-        # Granted after a pause: the caller may have gone and sent it elsewhere.
+        # Granted after a pause of this process: the caller may have given up and sent
+        # the request to another instance.
         late = verdict.state == GRANTED and now >= pending.give_up_at
         if verdict.state == DECLINED or late:
             return self._decline(pending, now)
         del self._pending[verdict.operation, verdict.kind]
-        return self._report(pending.ask, verdict)
-
-    def _wait_on(self, pending, now):
-        # The owner is alive, so it is the store that is slow: if all others wrote the
-        # ask too, they would race on the slow store. A claim has only its own time
-        # limit left, an outcome goes elsewhere in case the owner dies with it.
-        pending.received = True
-        again = math.inf if pending.ask.kind == CLAIM else now + self.cfg.suspect_for
-        pending.resend_at = again
-
-    def _take_stray(self, verdict, now):
-        # A thawed owner writes a claim that was given up long ago. Only a claim this
-        # very process refused as not run is freed: of any other, one granted before
-        # a restart for example, the request may have been sent.
+        return self._report_verdict(pending.ask, verdict)
+
+    def _extend_wait(self, pending, now):
+        # The owner is alive, so the store is slow; writes of the same ask by other
+        # instances would only add load to it. A claim waits until its own timeout. An
+        # outcome is resent to another instance later, in case the owner dies.
+        pending.acknowledged = True
+        retry_at = (
+            math.inf if pending.ask.kind == CLAIM else now + self.cfg.suspect_time
+        )
+        pending.resend_at = retry_at
+
+    def _release_stray_grant(self, verdict, now):
+        # An owner that was frozen may write a claim long after it was abandoned.
+        # Release only claims that this process refused as not run. The request of any
+        # other claim, such as one granted before a restart, may have been sent.
         ask = self._abandoned.get(verdict.operation)
         if ask is None or verdict.state != GRANTED:
             return ()
         return self._abandon(ask, now)
 
-    def _report(self, ask, verdict):
+    def _report_verdict(self, ask, verdict):
         if verdict.state == DONE:
             return ()
         if verdict.state == GRANTED:
             self._held[ask.operation] = ask
             return (ClaimGranted(ask.operation, ask.key, ask.run_until),)
-        self._drop(ask)
+        self._unregister(ask)
         if verdict.state == RECORDED:
             return (ClaimRecorded(ask.operation, ask.key, verdict.outcome),)
-        failure = self._explain(ask.key, verdict.state)
+        failure = self._make_failure(ask.key, verdict.state)
         return (ClaimRefused(ask.operation, ask.key, failure),)
 
-    def _explain(self, key, state):
+    def _make_failure(self, key, state):
         kind, detail = REFUSALS[state]
-        wait = self.cfg.progress_wait if state in RETRIED else None
+        wait = self.cfg.retry_after if state in RETRYABLE else None
         return kind(detail, scope=Scope("key", key.uuid), retry_after=wait)
 
     def _decline(self, pending, now):
@@ -304,56 +315,59 @@
         failure = PlatformDown(
             "the claim can't be written",
             scope=Scope("key", ask.key.uuid),
-            retry_after=self._writer.back_in(now),
+            retry_after=self._writer.retry_delay(now),
         )
         refusal = ClaimRefused(ask.operation, ask.key, failure)
-        if pending.sent:
+        if pending.maybe_written:
             return (refusal, *self._abandon(ask, now))
-        self._drop(ask)
+        self._unregister(ask)
         return (refusal,)
 
     def _abandon(self, ask, now):
-        """Free the key, which may be written or not, of an ask that never ran."""
-        self._drop(ask)
+        """Release the key of an ask that never ran; its claim may have been written."""
+        self._unregister(ask)
         ask = self._abandoned[ask.operation] = ask._replace(kind=RELEASE)
         return self._start(ask, ask.run_until, now)
 
-    def _drop(self, ask):
+    def _unregister(self, ask):
         self._pending.pop((ask.operation, CLAIM), None)
         if self._by_key.get(ask.key) == ask.operation:
             del self._by_key[ask.key]
 
     def _is_stale(self, ask, now):
-        # An owner that was frozen reads asks that their sender gave up on.
-        asked = ask.run_until - self.cfg.run_limit
-        return ask.kind == CLAIM and now > asked + self.cfg.claim_wait + self.cfg.skew
+        # After a freeze, an owner reads claims whose senders have already timed out.
+        asked_at = ask.run_until - self.cfg.run_limit
+        return (
+            ask.kind == CLAIM
+            and now > asked_at + self.cfg.claim_timeout + self.cfg.skew
+        )
 
     def _sweep(self, now):
-        self._sweep_at = now + self.cfg.progress_wait
-        for known in (self._held, self._abandoned):
-            self._forget(known, now)
-
-    def _forget(self, known, now):
-        # Past this time no reader grants, settles or frees the claim any more.
-        too_late = now - 2 * self.cfg.skew
-        for operation, ask in list(known.items()):
-            if ask.run_until >= too_late:
+        self._sweep_at = now + self.cfg.retry_after
+        for asks in (self._held, self._abandoned):
+            self._drop_expired(asks, now)
+
+    def _drop_expired(self, asks, now):
+        # After this time no instance grants, settles or releases the claim any more.
+        cutoff = now - 2 * self.cfg.skew
+        for operation, ask in list(asks.items()):
+            if ask.run_until >= cutoff:
                 continue
-            del known[operation]
-            self._drop(ask)
+            del asks[operation]
+            self._unregister(ask)
 
 
-def _answers(action, sender, ask):
+def _is_verdict_for(action, sender, ask):
     if not isinstance(action, Forward) or action.instance != sender:
         return False
     return action.message.operation == ask.operation
 
 
-RETRIED = {IN_PROGRESS, FULL}
+RETRYABLE = {IN_PROGRESS, FULL}
 REFUSALS = {
-    EXPIRED: (KeyExpired, "the key is older than the kept window"),
-    FULL: (ClaimsFull, "no room for this claim; take a new key"),
-    IN_PROGRESS: (InProgress, "a first request with this key is running"),
-    LOST: (OutcomeUnknown, "the instance that ran this key vanished"),
-    REUSED: (KeyReused, "the key came with a different request before"),
+    EXPIRED: (KeyExpired, "the key is older than the time for which keys are kept"),
+    FULL: (ClaimsFull, "the segment of this key is full; use a new key"),
+    IN_PROGRESS: (InProgress, "an earlier request with this key is still running"),
+    LOST: (OutcomeUnknown, "the instance that ran this key stopped without an outcome"),
+    REUSED: (KeyReused, "the key was used with a different request before"),
 }
--- a/src/chervilwing/segments.py
+++ b/src/chervilwing/segments.py
@@ -1,4 +1,4 @@
-"""Claims as they are stored: one segment a shard and time slot, with no I/O."""
+"""The stored form of claims: one segment for each shard and time slot."""
 
 import json
 from typing import NamedTuple
@@ -20,14 +20,14 @@
 QUEUED = "queued"
 DONE = "done"
 
-# No slot of a readable segment gets here, so every key counts as older.
-UNREADABLE = 1 << 62
-# JSON punctuation, numbers and the status of an outcome without its body.
+# Above the slot of any key, so that every key counts as older than the segment.
+UNREADABLE_SLOT = 1 << 62
+# Bytes of JSON punctuation and numbers, and the status of an outcome without a body.
 CLAIM_OVERHEAD = 96
 
 
 class Outcome(NamedTuple):
-    """The answer that a repeated key gets; ``whole`` is false once cut to size."""
+    """Hold the response for a repeated key; ``whole`` is false without its body."""
 
     status: int
     body: str
@@ -35,7 +35,7 @@
 
 
 class Claim(NamedTuple):
-    """Who may run a key: operation id, holder and Unix time when its run ends."""
+    """Hold one operation's right to run a key until ``run_until`` (Unix seconds)."""
 
     operation: str
     fingerprint: str
@@ -45,14 +45,14 @@
 
 
 class Segment(NamedTuple):
-    """The claims of one slot by key; the slot number of a cell never falls."""
+    """Hold the claims of one slot by key; the slot number of a cell never decreases."""
 
     slot: int
     claims: dict[str, Claim]
 
 
 class Ask(NamedTuple):
-    """What the holder of a claim wants written."""
+    """Ask for a claim to be written, settled or released, according to ``kind``."""
 
     kind: str
     key: ClaimKey
@@ -65,7 +65,7 @@
 
 
 class Verdict(NamedTuple):
-    """What became of an ask; ``until`` is when a running claim ends, Unix seconds."""
+    """Report the result of an ``Ask``; ``until`` (Unix time) ends a running claim."""
 
     kind: str
     operation: str
@@ -74,58 +74,63 @@
     outcome: Outcome | None = None
 
 
-EMPTY = Segment(0, {})
+EMPTY_SEGMENT = Segment(0, {})
 
 
 def encode(segment):
-    """Return the segment as the store keeps it."""
-    claims = {key: _pack(claim) for key, claim in segment.claims.items()}
+    """Return a segment as JSON text."""
+    claims = {key: _encode_claim(claim) for key, claim in segment.claims.items()}
     return json.dumps({"slot": segment.slot, "claims": claims}, separators=(",", ":"))
 
 
 def decode(value):
     """Return the segment in a stored value.
 
-    A value that can't be read shows as a segment newer than any key. Taking it for
-    empty would run its keys again; this way they are refused, and it is kept.
+    A value that can't be decoded counts as a segment newer than any key: its keys are
+    refused and the value is kept. As an empty segment it would let its keys run again.
     """
     try:
         found = json.loads(value)
-        claims = {key: _unpack(*fields) for key, fields in found["claims"].items()}
+        claims = {
+            key: _decode_claim(*fields) for key, fields in found["claims"].items()
+        }
         return Segment(int(found["slot"]), claims)
     except (ValueError, KeyError, TypeError, AttributeError):
-        return Segment(UNREADABLE, {})
+        return Segment(UNREADABLE_SLOT, {})
 
 
-def _pack(claim):
+def _encode_claim(claim):
     return [*claim[:4], *(claim.outcome or ())]
 
 
-def _unpack(operation, fingerprint, holder, run_until, *outcome):
-    kept = Outcome(*outcome) if outcome else None
-    return Claim(operation, fingerprint, holder, float(run_until), kept)
+def _decode_claim(operation, fingerprint, holder, run_until, *outcome):
+    stored = Outcome(*outcome) if outcome else None
+    return Claim(operation, fingerprint, holder, float(run_until), stored)
 
 
-def judge(segment, ask, now, skew):
-    """Return the verdict that the stored segment gives, or None if a write must."""
+def evaluate(segment, ask, now, skew):
+    """Return the verdict on an ``Ask``, or None if it takes a write to decide.
+
+    ``now`` and ``skew`` are in seconds.
+    """
     if segment.slot > ask.place.slot:
-        # The cell went on to a newer slot, so what this key did is forgotten: it
-        # shows as a key refused, and holds whatever the clocks say.
+        # The cell was reused for a newer slot, so the state of this key is lost. The
+        # key counts as expired, independent of the clocks.
         state = EXPIRED if ask.kind == CLAIM else DONE
         return Verdict(ask.kind, ask.operation, state)
     claims = segment.claims if segment.slot == ask.place.slot else {}
-    return JUDGES[ask.kind](claims.get(str(ask.key)), ask, now, skew)
+    return EVALUATORS[ask.kind](claims.get(str(ask.key)), ask, now, skew)
 
 
-def judge_claim(claim, ask, now, skew):
-    """Return the verdict on a claim to a key, or None while nobody has it."""
+def evaluate_claim(claim, ask, now, skew):
+    """Return the verdict on a claim to a key, or None if the key is unclaimed."""
     if claim is None:
         return None
-    state = _state_of(claim, ask, now, skew)
+    state = _claim_state(claim, ask, now, skew)
     return Verdict(CLAIM, ask.operation, state, claim.run_until, claim.outcome)
 
 
-def _state_of(claim, ask, now, skew):
+def _claim_state(claim, ask, now, skew):
     if claim.fingerprint != ask.fingerprint:
         return REUSED
     if claim.outcome is not None:
@@ -137,66 +142,66 @@
     return IN_PROGRESS
 
 
-def _judge_end(claim, ask, now, skew):
-    # After run_until a reader may have said that the outcome is unknown; to record
-    # one later, or to free the key for another run, would take that back.
-    if _is_open(claim, ask) and now <= claim.run_until:
+def _evaluate_end(claim, ask, now, skew):
+    # After run_until a caller may have been told that the outcome is unknown. Recording
+    # an outcome or releasing the key would contradict that.
+    if _is_unsettled(claim, ask) and now <= claim.run_until:
         return None
     return Verdict(ask.kind, ask.operation, DONE)
 
 
-def _is_open(claim, ask):
+def _is_unsettled(claim, ask):
     return (
         claim is not None and claim.operation == ask.operation and claim.outcome is None
     )
 
 
-JUDGES = {CLAIM: judge_claim, SETTLE: _judge_end, RELEASE: _judge_end}
+EVALUATORS = {CLAIM: evaluate_claim, SETTLE: _evaluate_end, RELEASE: _evaluate_end}
 
 
-def amend(segment, asks, room):
-    """Return the segment with the asks applied, and the asks that had no room.
+def apply_asks(segment, asks, free_bytes):
+    """Return the segment with the asks applied, and the claims that did not fit.
 
-    ``room`` is in bytes of JSON. A claim without room is turned away, an outcome
-    without room is kept without its body: the claim must still say that it ran.
+    ``free_bytes`` counts bytes of JSON. An outcome that does not fit is recorded
+    without its body, so that the claim still shows that the key has run.
     """
     slot = max([segment.slot, *(ask.place.slot for ask in asks)])
     claims = dict(segment.claims) if segment.slot == slot else {}
-    left_out = []
+    rejected = []
     for ask in asks:
         key = str(ask.key)
-        cost = _weigh(ask)
-        if ask.kind == CLAIM and cost > room:
-            left_out.append(ask)
+        size = _estimate_size(ask)
+        if ask.kind == CLAIM and size > free_bytes:
+            rejected.append(ask)
             continue
-        if ask.kind == SETTLE and cost > room:
+        if ask.kind == SETTLE and size > free_bytes:
             ask = ask._replace(outcome=ask.outcome._replace(body="", whole=False))
-            cost = 0
-        room -= cost
-        AMENDS[ask.kind](claims, key, ask)
-    return Segment(slot, claims), left_out
+            size = 0
+        free_bytes -= size
+        CHANGES[ask.kind](claims, key, ask)
+    return Segment(slot, claims), rejected
 
 
-def _put_claim(claims, key, ask):
-    # Of two claims to one key in a batch the first stands.
+def _add_claim(claims, key, ask):
+    # The first of two claims to one key in a batch wins.
     claim = Claim(ask.operation, ask.fingerprint, ask.holder, ask.run_until)
     claims.setdefault(key, claim)
 
 
-def _put_outcome(claims, key, ask):
-    if _is_open(claims.get(key), ask):
+def _add_outcome(claims, key, ask):
+    if _is_unsettled(claims.get(key), ask):
         claims[key] = claims[key]._replace(outcome=ask.outcome)
 
 
-def _drop_claim(claims, key, ask):
-    if _is_open(claims.get(key), ask):
+def _remove_claim(claims, key, ask):
+    if _is_unsettled(claims.get(key), ask):
         del claims[key]
 
 
-AMENDS = {CLAIM: _put_claim, SETTLE: _put_outcome, RELEASE: _drop_claim}
+CHANGES = {CLAIM: _add_claim, SETTLE: _add_outcome, RELEASE: _remove_claim}
 
 
-def _weigh(ask):
+def _estimate_size(ask):
     if ask.kind == CLAIM:
         fields = (str(ask.key), ask.operation, ask.fingerprint, ask.holder)
         return CLAIM_OVERHEAD + sum(len(json.dumps(field)) for field in fields)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests of claims and rankings that need no simulated world."""
+"""Tests of the claims ledger, its writer and the ranking of members."""
 
 import random
 import unittest
@@ -26,7 +26,7 @@
     Segment,
     Verdict,
     decode,
-    judge,
+    evaluate,
 )
 from tests.world import make_key
 
@@ -34,8 +34,8 @@
 CFG = ClaimSettings(shards=1)
 
 
-def serve(store, request):
-    """Answer a read or a write from a dict of value and version."""
+def reply_to(store, request):
+    """Return the reply to a read or write; ``store`` maps keys to (value, version)."""
     value, version = store.get(request.key, ("", 0))
     if isinstance(request, m.Read):
         return m.Found(value, version) if version else m.Missing()
@@ -45,25 +45,25 @@
     return m.Written(version + 1)
 
 
-def drive(part, actions, store, now):
-    """Answer all store calls at once; return the other actions."""
+def run_store_calls(core, actions, store, now):
+    """Perform all store calls and those that follow; return the other actions."""
     results = []
     for action in actions:
         if isinstance(action, m.StoreCall):
-            reply = serve(store, action.request)
-            more = part.receive(action.token, reply, now)
-            results += drive(part, more, store, now)
+            reply = reply_to(store, action.request)
+            more = core.receive(action.token, reply, now)
+            results += run_store_calls(core, more, store, now)
         else:
             results.append(action)
     return results
 
 
 def claim(ledger, store, key, operation, now=NOW):
-    return drive(ledger, ledger.claim(operation, key, "f", now), store, now)
+    return run_store_calls(ledger, ledger.claim(operation, key, "f", now), store, now)
 
 
 class TestKeys(unittest.TestCase):
-    def test_only_recent_uuid7_in_canonical_form(self):
+    def test_only_recent_canonical_uuid7_is_accepted(self):
         rng = random.Random(1)
         good = make_key(NOW, rng)
         bad = (
@@ -80,8 +80,9 @@
             locate(CFG, ClaimKey("c", good), NOW).slot, int(NOW // CFG.slot)
         )
 
-    def test_ring_outlasts_the_window(self):
-        # A cell used again within the window would refuse keys that are still valid.
+    def test_ring_covers_more_than_the_window(self):
+        # A cell that is reused within the window would refuse keys that are still
+        # valid.
         cfg = ClaimSettings()
         self.assertGreater(cfg.ring * cfg.slot, cfg.window + cfg.slot + cfg.skew)
 
@@ -94,17 +95,19 @@
 
     def test_same_uuid_of_two_customers_is_two_keys(self):
         # Two customers' terminals share a bad random source and make the same UUID.
-        # Were it one key, the second would get the first one's answer.
+        # As one key, the second customer would get the first customer's answer.
         ledger = Ledger(CFG, "one")
         other = self.key._replace(customer="d")
         claim(ledger, self.store, self.key, "op-1")
-        drive(ledger, ledger.settle("op-1", Outcome(200, "c's"), NOW), self.store, NOW)
+        run_store_calls(
+            ledger, ledger.settle("op-1", Outcome(200, "c's"), NOW), self.store, NOW
+        )
         (action,) = claim(ledger, self.store, other, "op-2")
         self.assertIsInstance(action, ClaimGranted)
 
-    def test_cell_taken_by_a_newer_slot_refuses_older_keys(self):
-        # An instance whose clock went back asks for a key that was forgotten.
-        # Its own clock says that the key is fresh; the stored slot says otherwise.
+    def test_cell_reused_by_a_newer_slot_refuses_older_keys(self):
+        # An instance whose clock was set back claims a key whose claim is overwritten.
+        # By its own clock the key is still valid; the newer stored slot must refuse it.
         later = NOW + CFG.ring * CFG.slot
         newer = ClaimKey("c", make_key(later, self.rng))
         claim(Ledger(CFG, "one"), self.store, newer, "op-1", later)
@@ -112,21 +115,21 @@
         self.assertIsInstance(action, ClaimRefused)
         self.assertIsInstance(action.failure, KeyExpired)
 
-    def test_unreadable_segment_is_refused_and_kept(self):
-        # Somebody wrote rubbish over a segment: its claims can't be read.
-        # Taken for empty, its keys would run again.
+    def test_claim_in_an_unreadable_segment_is_refused(self):
+        # Somebody overwrote a segment with garbage, so its claims can't be read.
+        # If it counted as empty, its keys would run again.
         cell = f"claims/0/{int(NOW // CFG.slot) % CFG.ring}"
-        for rubbish in ("", "{", "[]", '{"slot":1,"claims":{"k":[1]}}', "null"):
-            with self.subTest(value=rubbish):
-                store = {cell: (rubbish, 7)}
+        for garbage in ("", "{", "[]", '{"slot":1,"claims":{"k":[1]}}', "null"):
+            with self.subTest(value=garbage):
+                store = {cell: (garbage, 7)}
                 (action,) = claim(Ledger(CFG, "one"), store, self.key, "op-1")
                 self.assertIsInstance(action, ClaimRefused)
-                self.assertEqual(store[cell], (rubbish, 7))
+                self.assertEqual(store[cell], (garbage, 7))
 
     def test_full_segment_refuses_claims_and_keeps_outcomes(self):
-        # All of a shard's notes of four seconds hold large answers, near a megabyte.
-        # Over it the store would refuse the write, and all claims with it.
-        cfg = CFG._replace(segment_limit=2_000, settle_wait=0.0)
+        # Large outcomes bring a segment near a megabyte, the store's limit. A larger
+        # write would be refused, and all claims in the same batch with it.
+        cfg = CFG._replace(segment_limit=2_000, settle_delay=0.0)
         ledger = Ledger(cfg, "one")
         kinds = []
         for number in range(20):
@@ -135,37 +138,41 @@
             (action,) = claim(ledger, self.store, key, f"op-{number}", now)
             kinds.append(type(action))
             actions = ledger.settle(f"op-{number}", Outcome(200, "x" * 300), now)
-            drive(ledger, actions, self.store, now)
-            drive(ledger, ledger.tick(now + 0.5), self.store, now + 0.5)
+            run_store_calls(ledger, actions, self.store, now)
+            run_store_calls(ledger, ledger.tick(now + 0.5), self.store, now + 0.5)
         self.assertIn(ClaimGranted, kinds)
         self.assertIsInstance(action, ClaimRefused)
         self.assertIsInstance(action.failure, ClaimsFull)
         for value, _ in self.store.values():
             self.assertLessEqual(len(value), cfg.segment_limit)
 
-    def test_released_key_can_be_claimed_and_settled_key_not(self):
+    def test_released_key_can_be_claimed_but_settled_key_cannot(self):
         ledger = Ledger(CFG, "one")
         claim(ledger, self.store, self.key, "op-1")
-        drive(ledger, ledger.release("op-1", NOW), self.store, NOW)
+        run_store_calls(ledger, ledger.release("op-1", NOW), self.store, NOW)
         (action,) = claim(ledger, self.store, self.key, "op-2")
         self.assertIsInstance(action, ClaimGranted)
-        drive(ledger, ledger.settle("op-2", Outcome(200, "yes"), NOW), self.store, NOW)
-        drive(ledger, ledger.release("op-2", NOW), self.store, NOW)
-        drive(ledger, ledger.tick(NOW + 1), self.store, NOW + 1)
+        run_store_calls(
+            ledger, ledger.settle("op-2", Outcome(200, "yes"), NOW), self.store, NOW
+        )
+        run_store_calls(ledger, ledger.release("op-2", NOW), self.store, NOW)
+        run_store_calls(ledger, ledger.tick(NOW + 1), self.store, NOW + 1)
         (action,) = claim(Ledger(CFG, "two"), self.store, self.key, "op-3", NOW + 1)
         self.assertIsInstance(action, ClaimRecorded)
         self.assertEqual(action.outcome, Outcome(200, "yes"))
 
-    def test_late_grant_frees_only_what_this_process_gave_up(self):
-        # An instance restarts; an owner then tells it that a claim of its former life
-        # is granted. The former life may have sent the request: it must stay claimed.
+    def test_late_grant_releases_only_claims_this_process_abandoned(self):
+        # After a restart, an owner reports that a claim from before it was granted.
+        # The previous process may have sent the request, so the key must stay claimed.
         claim(Ledger(CFG, "one"), self.store, self.key, "op-1")
         before = dict(self.store)
         owner = Ledger(CFG, "two")
         restarted = Ledger(CFG, "one")
         ask = self.ask(CLAIM)
-        for forward in drive(owner, owner.hear("one", ask, NOW), self.store, NOW):
-            drive(
+        for forward in run_store_calls(
+            owner, owner.hear("one", ask, NOW), self.store, NOW
+        ):
+            run_store_calls(
                 restarted,
                 restarted.hear("two", forward.message, NOW),
                 self.store,
@@ -173,22 +180,23 @@
             )
         self.assertEqual(self.store, before)
 
-    def test_writes_keep_the_pace_under_a_burst(self):
-        # A thousand claims to one shard within a second.
+    def test_burst_of_claims_stays_within_the_write_rate(self):
+        # A thousand claims to one shard within a second must share a few writes, else
+        # the store would refuse them.
         cfg = ClaimSettings(shards=1, writes_per_second=15.0)
         ledger = Ledger(cfg, "one")
         for number in range(1_000):
             now = NOW + number / 1_000
             key = ClaimKey("c", make_key(now, self.rng))
             claim(ledger, self.store, key, f"op-{number}", now)
-            drive(ledger, ledger.tick(now), self.store, now)
+            run_store_calls(ledger, ledger.tick(now), self.store, now)
         writes = sum(version for _, version in self.store.values())
         self.assertLessEqual(writes, 15 + cfg.write_burst)
 
     def test_claims_and_outcomes_share_the_writes(self):
-        # Forty notes that ran for up to forty seconds end together, each in a cell of
-        # its own, while brokers send new ones. The new ones wait behind the outcomes
-        # until they are refused; or the outcomes wait for ever behind new ones.
+        # Forty requests that ran for up to forty seconds end together, each in a cell
+        # of its own, while new ones arrive. New claims must not wait behind the
+        # outcomes until they time out, nor the outcomes for ever behind new claims.
         cfg = ClaimSettings(shards=1, writes_per_second=15.0)
         ledger = Ledger(cfg, "one")
         for number in range(40):
@@ -202,47 +210,50 @@
             at = now + step * 0.05
             key = ClaimKey("c", make_key(at, self.rng))
             results += claim(ledger, self.store, key, f"new-{step}", at)
-            results += drive(ledger, ledger.tick(at), self.store, at)
+            results += run_store_calls(ledger, ledger.tick(at), self.store, at)
         self.assertEqual({type(action) for action in results}, {ClaimGranted})
         segments = [decode(value) for value, _ in self.store.values()]
-        claims = [one for segment in segments for one in segment.claims.values()]
-        self.assertEqual(sum(one.outcome is not None for one in claims), 40)
+        claims = [item for segment in segments for item in segment.claims.values()]
+        self.assertEqual(sum(item.outcome is not None for item in claims), 40)
 
-    def test_grant_after_the_wait_is_given_back(self):
-        # An instance stops for five seconds while its claim is written.
-        # The caller has gone and sends it elsewhere: it must run there, once.
+    def test_grant_after_the_claim_timeout_is_released(self):
+        # An instance pauses for five seconds while its claim is written. The caller
+        # retries at another instance, which must get the claim.
         ledger = Ledger(CFG, "one")
         (read_call,) = ledger.claim("op-1", self.key, "f", NOW)
         (write_call,) = ledger.receive(read_call.token, m.Missing(), NOW)
-        reply = serve(self.store, write_call.request)
+        reply = reply_to(self.store, write_call.request)
         actions = ledger.receive(write_call.token, reply, NOW + 5)
-        actions = drive(ledger, actions, self.store, NOW + 5)
+        actions = run_store_calls(ledger, actions, self.store, NOW + 5)
         self.assertEqual([type(action) for action in actions], [ClaimRefused])
         other = Ledger(CFG, "two")
         (action,) = claim(other, self.store, self.key, "op-2", NOW + 5)
         self.assertIsInstance(action, ClaimGranted)
 
-    def test_owner_reads_again_what_another_writer_may_have_changed(self):
-        # Cut off from its owner, an instance claims and settles a key by itself.
-        # The owner saw the claim but not the outcome, and says "in progress" for ever.
+    def test_owner_rereads_a_segment_another_writer_may_have_changed(self):
+        # An instance that can't reach the owner claims and settles a key by itself. The
+        # owner read the claim but not the outcome, and would answer "in progress" from
+        # its stale copy.
         owner, writer = Ledger(CFG, "one"), Ledger(CFG, "two")
         claim(writer, self.store, self.key, "op-1")
         claim(owner, self.store, self.key, "op-2")
-        drive(writer, writer.settle("op-1", Outcome(200, "y"), NOW), self.store, NOW)
-        drive(writer, writer.tick(NOW + 1), self.store, NOW + 1)
+        run_store_calls(
+            writer, writer.settle("op-1", Outcome(200, "y"), NOW), self.store, NOW
+        )
+        run_store_calls(writer, writer.tick(NOW + 1), self.store, NOW + 1)
         (action,) = claim(owner, self.store, self.key, "op-3", NOW + 2)
         self.assertIsInstance(action, ClaimRecorded)
 
-    def test_thawed_owner_drops_an_ask_that_was_given_up(self):
-        # An owner goes on after a minute and finds an ask among what came in.
-        # Written now, it would block a key that was refused as not run.
+    def test_resumed_owner_ignores_an_expired_claim(self):
+        # An owner resumes after a minute and reads a claim that its sender has refused
+        # as not run. Writing it now would block the key.
         owner = Ledger(CFG, "two")
         ask = self.ask(CLAIM)
         self.assertEqual(owner.hear("one", ask, NOW + 60), ())
 
-    def test_what_was_said_of_a_claim_is_not_taken_back(self):
-        # A release that was under way for minutes, or comes twice, reaches the owner.
-        # It must free neither a key that has run nor one called unknown.
+    def test_settled_or_expired_claim_is_not_changed(self):
+        # A settle or release arrives minutes late or twice. It must not change a claim
+        # with an outcome, nor an expired one, whose callers got "outcome unknown".
         past = NOW + CFG.run_limit + 1
         for outcome, now in ((Outcome(200, "y"), NOW), (None, past)):
             for kind in (SETTLE, RELEASE):
@@ -250,28 +261,28 @@
                     stored = Claim("op-1", "f", "one", NOW + CFG.run_limit, outcome)
                     ask = self.ask(kind)
                     segment = Segment(ask.place.slot, {str(self.key): stored})
-                    verdict = judge(segment, ask, now, CFG.skew)
+                    verdict = evaluate(segment, ask, now, CFG.skew)
                     self.assertEqual(verdict, Verdict(kind, "op-1", DONE))
 
     def ask(self, kind):
-        """Return an ask of instance one, made at NOW."""
+        """Return an ``Ask`` that instance one made at NOW."""
         place = locate(CFG, self.key, NOW)
         return Ask(kind, self.key, place, "op-1", "f", "one", NOW + CFG.run_limit)
 
 
 class TestWriter(unittest.TestCase):
-    def test_reply_to_an_unknown_token_is_dropped(self):
+    def test_reply_with_an_unknown_token_is_ignored(self):
         self.assertEqual(Writer(CFG, "one").receive("x", m.Missing(), NOW), ())
 
 
 def read(value):
-    """Read a value such as ``3 op-c op-b op-a``: revision, own and recent ids."""
+    """Return the Stamp in a value such as ``3 op-c op-b op-a``."""
     revision, *operations = value.split()
     return Stamp(int(revision), operations[0], tuple(operations[1:]))
 
 
 class TestRank(unittest.TestCase):
-    def test_only_the_tasks_of_the_one_that_left_move(self):
+    def test_only_tasks_of_a_removed_member_move(self):
         members = [f"i-{n}" for n in range(20)]
         before = {task: rank(str(task), members)[0] for task in range(64)}
         after = {task: rank(str(task), members[1:])[0] for task in range(64)}
--- a/tests/weakened.py
+++ b/tests/weakened.py
@@ -44,7 +44,7 @@
     scenarios: tuple[str, ...]
 
 
-START = "return self._start(ask, now + self.cfg.claim_wait, now)"
+START = "return self._start(ask, now + self.cfg.claim_timeout, now)"
 FORGIVE = (
     Edit("segments", "if claim is None:", "if claim is None or now > claim.run_until:"),
     Edit("segments", "claims.setdefault(key, claim)", "claims[key] = claim"),
@@ -84,7 +84,13 @@
     ),
     Weakness(
         "a rejected write taken as written",
-        (Edit("claim_writer", "Rejected: _adopt_value", "Rejected: _adopt_draft"),),
+        (
+            Edit(
+                "claim_writer",
+                "Rejected: _update_from_value",
+                "Rejected: _update_from_draft",
+            ),
+        ),
         ("two-writers",),
     ),
     Weakness(
@@ -92,8 +98,9 @@
         (
             Edit(
                 "claim_writer",
-                "            cell.base = None\n            cell.doubt = call.expect",
-                "            cell.adopt(cell.draft[0], 0, 0)",
+                "            cell.segment = None\n"
+                "            cell.uncertain_version = call.expect",
+                "            cell.update(cell.draft[0], 0, 0)",
             ),
         ),
         ("dropped-write",),
@@ -103,7 +110,7 @@
         (
             Edit(
                 "claim_writer",
-                "        self._silent += 1\n",
+                "        self._unanswered += 1\n",
                 "        return self._decline_all()\n",
             ),
         ),
@@ -111,7 +118,7 @@
     ),
     Weakness(
         "release without a write that stops the lost one",
-        (Edit("claim_writer", "ask.kind == RELEASE and may_return", "False"),),
+        (Edit("claim_writer", "ask.kind == RELEASE and may_reappear", "False"),),
         ("late-write",),
     ),
     Weakness(
@@ -124,11 +131,11 @@
         (
             Edit(
                 "claims",
-                "        if pending.sent:",
-                "        self._drop(ask)\n"
+                "        if pending.maybe_written:",
+                "        self._unregister(ask)\n"
                 "        self._held[ask.operation] = ask\n"
                 "        return (ClaimGranted(ask.operation, ask.key, now + 9),)\n"
-                "        if pending.sent:",
+                "        if pending.maybe_written:",
             ),
         ),
         ("platform-down", "zone-cut-off"),
@@ -226,13 +233,19 @@
     ),
     Weakness(
         "an unreadable segment taken for empty",
-        (Edit("segments", "return Segment(UNREADABLE, {})", "return EMPTY"),),
-        (LEDGER + "unreadable_segment_is_refused_and_kept",),
+        (
+            Edit(
+                "segments",
+                "return Segment(UNREADABLE_SLOT, {})",
+                "return EMPTY_SEGMENT",
+            ),
+        ),
+        (LEDGER + "claim_in_an_unreadable_segment_is_refused",),
     ),
     Weakness(
         "a forgotten key granted",
         (Edit("segments", "EXPIRED if ask", "GRANTED if ask"),),
-        (LEDGER + "cell_taken_by_a_newer_slot_refuses_older_keys",),
+        (LEDGER + "cell_reused_by_a_newer_slot_refuses_older_keys",),
     ),
     Weakness(
         "keys not kept apart by customer",
@@ -247,7 +260,7 @@
     Weakness(
         "no pace of writes",
         (Edit("claim_writer", "next_write - now > slack + 1e-9", "False"),),
-        (LEDGER + "writes_keep_the_pace_under_a_burst",),
+        (LEDGER + "burst_of_claims_stays_within_the_write_rate",),
     ),
     Weakness(
         "first come, first served",
@@ -262,12 +275,12 @@
     Weakness(
         "an outcome can be released",
         (Edit("segments", "and claim.outcome is None", ""),),
-        (LEDGER + "what_was_said_of_a_claim_is_not_taken_back",),
+        (LEDGER + "settled_or_expired_claim_is_not_changed",),
     ),
     Weakness(
         "a lapsed claim can be settled and released",
         (Edit("segments", "and now <= claim.run_until", ""),),
-        (LEDGER + "what_was_said_of_a_claim_is_not_taken_back",),
+        (LEDGER + "settled_or_expired_claim_is_not_changed",),
     ),
     Weakness(
         "a grant is taken however late",
@@ -278,17 +291,17 @@
                 "False",
             ),
         ),
-        (LEDGER + "grant_after_the_wait_is_given_back",),
+        (LEDGER + "grant_after_the_claim_timeout_is_released",),
     ),
     Weakness(
         "an owner trusts its copy",
-        (Edit("claim_writer", "now - cell.seen <= self.cfg.fresh_for", "True"),),
-        (LEDGER + "owner_reads_again_what_another_writer_may_have_changed",),
+        (Edit("claim_writer", "now - cell.read_at <= self.cfg.max_copy_age", "True"),),
+        (LEDGER + "owner_rereads_a_segment_another_writer_may_have_changed",),
     ),
     Weakness(
         "an owner writes asks of any age",
         (Edit("claims", "if self._is_stale(message, now)", "if False"),),
-        (LEDGER + "thawed_owner_drops_an_ask_that_was_given_up",),
+        (LEDGER + "resumed_owner_ignores_an_expired_claim",),
     ),
     Weakness(
         "an edit without an answer called not run",
