--- a/src/chervilwing/gossip.py
+++ b/src/chervilwing/gossip.py
@@ -1,4 +1,4 @@
-"""What spreads between entry instances: items, the table of them, and rumours."""
+"""The items gossiped between entry instances, their table, and rumours."""
 
 from hashlib import blake2b
 from typing import NamedTuple
@@ -18,19 +18,22 @@
 
 NOTICE_KINDS = (UPSTREAM, ENTRY, DATA_CENTRE)
 
-# Within one incarnation a higher rank wins; only the subject itself starts the next
-# incarnation (SWIM, Das et al. 2002, section 4.2).
+# Within an incarnation the state of higher rank wins; only the instance itself starts
+# its next incarnation (SWIM, Das et al. 2002, section 4.2).
 STATES = (LIVE, LEAVING, SUSPECT)
-RANKS = {state: rank for rank, state in enumerate(STATES)}
+STATE_RANKS = {state: rank for rank, state in enumerate(STATES)}
 
 HASH_BYTES = 8
 BUCKETS = 32
-MAX_NAME = 255
+MAX_NAME_LENGTH = 255
 MAX_NUMBER = 2**53
 
 
 class Record(NamedTuple):
-    """One entry instance, as it or a neighbour that can't reach it announced it."""
+    """Describe an entry instance.
+
+    The instance announces its record; a peer that can't reach it marks it suspect.
+    """
 
     name: str
     address: Address
@@ -41,7 +44,10 @@
 
 
 class Notice(NamedTuple):
-    """Something goes away at ``deadline``, in Unix seconds."""
+    """Announce that an upstream, entry or data centre goes away at ``deadline``.
+
+    The deadline is in Unix seconds.
+    """
 
     kind: str
     name: str
@@ -49,30 +55,31 @@
 
 
 class Revision(NamedTuple):
-    """The newest configuration: number, bytes when compressed, and their digest."""
+    """Identify a configuration: its number, compressed size in bytes and digest."""
 
     number: int
     size: int
     digest: bytes
 
 
-# The order in which items are sent when the byte budget is short: a late notice loses
-# work, a late revision breaks a promise, a late record only misinforms.
+# The order in which items are sent when the byte budget is short. A late notice loses
+# work, a late revision breaks the time limit for changes, a late record only leaves
+# outdated information.
 PRIORITIES = {Notice: 0, Revision: 1, Record: 2}
 
 
 def digest(data):
-    """Return the hash of bytes that all instances agree on."""
+    """Return the 8 byte hash of ``data``, the same on every instance."""
     return blake2b(data, digest_size=HASH_BYTES).digest()
 
 
-def urgency_of(item):
-    """Return the key that sorts the most urgent items first."""
+def priority_of(item):
+    """Return the sort key of an item, 0 for the most urgent."""
     return PRIORITIES[type(item)]
 
 
 def key_of(item):
-    """Return the key under which only the newest item is kept."""
+    """Return the key of an item in the table, which holds the newest item of a key."""
     match item:
         case Record():
             return (Record, item.name)
@@ -81,27 +88,27 @@
     return (Revision,)
 
 
-def order_of(item):
-    """Return what decides which of two items with one key is newer.
+def version_of(item):
+    """Return the sort key that orders items of the same key from old to new.
 
-    The whole item breaks ties: two processes under one name and incarnation would
-    otherwise keep every pair of tables different for good.
+    The item itself breaks ties. Otherwise two processes with the same name and
+    incarnation would make the tables of all instances differ for good.
     """
     match item:
         case Record():
-            return (item.incarnation, RANKS[item.state], item)
+            return (item.incarnation, STATE_RANKS[item.state], item)
         case Notice():
             return (item.deadline, 0, item)
     return (item.number, 0, item)
 
 
 def to_wire(item):
-    """Return an item as the list that msgpack carries."""
+    """Return an item as a list for msgpack."""
     match item:
         case Record():
             host, port = item.address
             where = (item.data_centre, item.region)
-            state = RANKS[item.state]
+            state = STATE_RANKS[item.state]
             return [0, item.name, host, port, *where, state, item.incarnation]
         case Notice():
             return [1, NOTICE_KINDS.index(item.kind), item.name, item.deadline]
@@ -134,7 +141,9 @@
 
 
 def _check_texts(*values):
-    if not all(type(value) is str and len(value) <= MAX_NAME for value in values):
+    if not all(
+        type(value) is str and len(value) <= MAX_NAME_LENGTH for value in values
+    ):
         raise ValueError("text")
 
 
@@ -144,7 +153,7 @@
 
 
 def from_wire(parts):
-    """Return the item in a received list; raise BadFrame on any other shape."""
+    """Return the item that a received list encodes; raise BadFrame if malformed."""
     try:
         kind, *rest = parts
         _check_numbers(kind)
@@ -153,26 +162,26 @@
         raise BadFrame(f"not an item: {exc}") from exc
 
 
-def to_body(items):
-    """Return the body of a frame that carries items."""
+def encode_items(items):
+    """Return items as the body of a frame."""
     return [to_wire(item) for item in items]
 
 
-def read_body(body):
-    """Return the items in a received body; raise BadFrame on any other shape."""
+def decode_items(body):
+    """Return the items in a received body; raise BadFrame if malformed."""
     if not isinstance(body, list):
-        raise BadFrame("items are a list")
+        raise BadFrame("items must be a list")
     return [from_wire(parts) for parts in body]
 
 
 class Table:
-    """Hold the newest item of each key, with digests by which two tables compare."""
+    """Hold the newest item of each key, with digests to compare two tables."""
 
     def __init__(self):
         self._items = {}
         self._kinds = {Record: {}, Notice: {}, Revision: {}}
         self._hashes = {}
-        self._places = {}
+        self._bucket_numbers = {}
         self._buckets = [0] * BUCKETS
 
     def __len__(self):
@@ -187,27 +196,27 @@
         return list(self._kinds[kind].values())
 
     def merge(self, item):
-        """Keep an item if it is newer; return whether it was."""
+        """Store an item if it is newer; return whether it was."""
         key = key_of(item)
         old = self._items.get(key)
-        if old is not None and order_of(old) >= order_of(item):
+        if old is not None and version_of(old) >= version_of(item):
             return False
         self.drop(key)
         self._items[key] = self._kinds[type(item)][key] = item
-        self._places[key] = bucket_of(key)
-        # XOR sums of a linear hash such as CRC-32 come out equal when two tables
-        # differ in like ways (each saw another instance restart), and the tables
-        # would then never be compared; a cryptographic hash has no such pattern.
+        self._bucket_numbers[key] = bucket_of(key)
+        # With a linear hash such as CRC-32, the XOR sums of two tables can be equal
+        # although similar items differ (each table saw another instance restart), and
+        # the difference would stay undetected. A cryptographic hash avoids this.
         self._hashes[key] = digest(msgpack.packb(to_wire(item)))
-        self._fold(key)
+        self._toggle(key)
         return True
 
     def drop(self, key):
-        """Forget a key."""
+        """Remove the item of a key, if any."""
         if key in self._items:
-            self._fold(key)
+            self._toggle(key)
             del self._kinds[key[0]][key]
-            del self._items[key], self._hashes[key], self._places[key]
+            del self._items[key], self._hashes[key], self._bucket_numbers[key]
 
     def digest(self):
         """Return the digest of the whole table."""
@@ -217,91 +226,95 @@
         return total.to_bytes(HASH_BYTES, "big")
 
     def bucket_digests(self):
-        """Return the digests of all buckets, one after the other."""
+        """Return the concatenated digests of all buckets."""
         return b"".join(value.to_bytes(HASH_BYTES, "big") for value in self._buckets)
 
     def differing_buckets(self, digests):
-        """Return the numbers of the buckets that aren't as in ``digests``."""
+        """Return the numbers of the buckets whose digests differ from ``digests``."""
         if type(digests) is not bytes or len(digests) != BUCKETS * HASH_BYTES:
             raise BadFrame("bucket digests have the wrong size")
         mine = self.bucket_digests()
         steps = range(0, len(mine), HASH_BYTES)
         return [
             number
-            for number, at in enumerate(steps)
-            if mine[at : at + HASH_BYTES] != digests[at : at + HASH_BYTES]
+            for number, start in enumerate(steps)
+            if mine[start : start + HASH_BYTES] != digests[start : start + HASH_BYTES]
         ]
 
-    def in_buckets(self, numbers):
-        """Return hash to item for everything in these buckets."""
+    def items_in_buckets(self, numbers):
+        """Return the items in these buckets by their hash."""
         wanted = set(numbers)
         return {
             value: self._items[key]
             for key, value in self._hashes.items()
-            if self._places[key] in wanted
+            if self._bucket_numbers[key] in wanted
         }
 
-    def _fold(self, key):
-        self._buckets[self._places[key]] ^= int.from_bytes(self._hashes[key], "big")
+    def _toggle(self, key):
+        self._buckets[self._bucket_numbers[key]] ^= int.from_bytes(
+            self._hashes[key], "big"
+        )
 
 
 def bucket_of(key):
-    """Return the bucket of a key, the same on every instance."""
+    """Return the bucket number of a key, the same on every instance."""
     kind, *names = key
     return digest("/".join([kind.__name__, *names]).encode())[0] % BUCKETS
 
 
 class Rumour:
-    """One item still being pushed: pushes left, and who is known to have it."""
+    """Hold an item to push, the pushes left, and the peers known to have it."""
 
-    __slots__ = ("item", "copies", "told")
+    __slots__ = ("item", "pushes_left", "holders")
 
-    def __init__(self, item, copies, told=()):
+    def __init__(self, item, pushes_left, holders=()):
         self.item = item
-        self.copies = copies
-        self.told = set(told)
+        self.pushes_left = pushes_left
+        self.holders = set(holders)
 
 
 class Rumours:
-    """Hold what this instance still has to push, the urgent first."""
+    """Hold the items that this instance still has to push."""
 
-    def __init__(self, copies):
-        self._copies = copies
+    def __init__(self, pushes_left):
+        self._max_pushes = pushes_left
         self._rumours = {}
 
     def __len__(self):
         return len(self._rumours)
 
     def add(self, item, source=None):
-        """Start pushing an item to all but the peer that it came from."""
-        told = () if source is None else (source,)
-        self._rumours[key_of(item)] = Rumour(item, self._copies, told)
+        """Start pushing an item to peers other than its source."""
+        holders = () if source is None else (source,)
+        self._rumours[key_of(item)] = Rumour(item, self._max_pushes, holders)
 
-    def note_known(self, item, peer):
-        """Remember that a peer has an item, so that it isn't sent back."""
+    def record_holder(self, item, peer):
+        """Record that a peer has an item, so that it isn't pushed to this peer."""
         rumour = self._rumours.get(key_of(item))
         if rumour is not None and rumour.item == item:
-            rumour.told.add(peer)
+            rumour.holders.add(peer)
 
-    def pick(self, peer, limit):
-        """Return the items to push to a peer, at most ``limit`` of them.
+    def select(self, peer, limit):
+        """Return at most ``limit`` items to push to a peer, the most urgent first.
 
-        Among equally urgent ones the least told go first: in a wave each peer then
-        gets another part, and all parts travel on at once.
+        Among equally urgent items, those with the fewest known holders come first: of
+        many items at once, each peer then gets a different part and passes it on.
         """
-        fitting = [
-            rumour for rumour in self._rumours.values() if peer not in rumour.told
+        eligible = [
+            rumour for rumour in self._rumours.values() if peer not in rumour.holders
         ]
-        fitting.sort(key=lambda rumour: (urgency_of(rumour.item), len(rumour.told)))
-        return [rumour.item for rumour in fitting[:limit]]
+        eligible.sort(
+            key=lambda rumour: (priority_of(rumour.item), len(rumour.holders))
+        )
+        return [rumour.item for rumour in eligible[:limit]]
 
-    def note_pushed(self, items, peer):
-        """Count a push; an item whose copies are used up is no longer a rumour."""
+    def record_push(self, items, peer):
+        """Count a push of these items; stop pushing an item that has no pushes left."""
         for item in items:
             rumour = self._rumours[key_of(item)]
-            rumour.told.add(peer)
-            rumour.copies -= 1
-            if rumour.copies == 0:
+            rumour.holders.add(peer)
+            rumour.pushes_left -= 1
+            if rumour.pushes_left == 0:
                 del self._rumours[key_of(item)]
 
     def drop(self, item):
@@ -309,33 +322,33 @@
         self._rumours.pop(key_of(item), None)
 
     def prune(self, neighbours):
-        """Drop what every neighbour has."""
+        """Drop the items that every neighbour has."""
         if not neighbours:
             return
         for key, rumour in list(self._rumours.items()):
-            if rumour.told.issuperset(neighbours):
+            if rumour.holders.issuperset(neighbours):
                 del self._rumours[key]
 
 
 class Budget:
-    """A token bucket of bytes: ``rate`` a second, ``burst`` at most at once."""
+    """A token bucket of bytes: ``rate`` a second, at most ``burst`` at once."""
 
     def __init__(self, rate, burst):
         self._rate = rate
         self._burst = burst
-        self._left = burst
-        self._at = None
+        self._available = burst
+        self._refilled_at = None
 
     def refill(self, now):
-        """Add what the time since the last call allows."""
-        passed = 0 if self._at is None else max(0, now - self._at)
-        self._left = min(self._burst, self._left + passed * self._rate)
-        self._at = now
+        """Add the bytes allowed for the time since the last call."""
+        passed = 0 if self._refilled_at is None else max(0, now - self._refilled_at)
+        self._available = min(self._burst, self._available + passed * self._rate)
+        self._refilled_at = now
 
-    def has(self, reserve):
-        """Tell whether more than a part, 0 to 1, of the burst is left."""
-        return self._left > reserve * self._burst
+    def is_above(self, reserve):
+        """Return whether more than a part of the burst is left; ``reserve`` is 0 to 1."""
+        return self._available > reserve * self._burst
 
     def spend(self, size):
-        """Take ``size`` bytes out, down to none: answers to probes are always sent."""
-        self._left = max(0.0, self._left - size)
+        """Remove ``size`` bytes, down to 0: replies to probes are always sent."""
+        self._available = max(0.0, self._available - size)
--- a/src/chervilwing/gossip_settings.py
+++ b/src/chervilwing/gossip_settings.py
@@ -4,29 +4,34 @@
 
 
 class MembershipSettings(NamedTuple):
-    """Tune the gossip; times in seconds, sizes in bytes.
+    """Configure the gossip; times in seconds, sizes in bytes, rates per second.
 
-    The defaults hold 320 instances in 5 data centres under the 3 KB a second that
-    letter 1 gives a node for all control; ``python -m bench.gossip`` measures them.
+    With the defaults, 320 instances in 5 data centres stay under 3 KB a second each,
+    the limit for all control traffic; ``python -m bench.gossip`` measures it.
+    ``quotas`` are the links within the data centre, the region and to other regions. A
+    peer is silent after ``max_missed_probes``, is linked again only after
+    ``relink_delay``, and counts as a neighbour for ``contact_age`` after its last
+    frame. ``sync_reserve`` is the part of the byte budget, 0 to 1, that table
+    synchronisation leaves free.
     """
 
     interval: float = 0.2
     links: int = 6
     quotas: tuple[int, int, int] = (3, 2, 1)
     fanout: int = 3
-    copies: int = 8
+    max_pushes: int = 8
     probe_interval: float = 1.0
     probe_timeout: float = 0.9
-    misses: int = 8
-    inbound_age: float = 15.0
-    shun: float = 20.0
-    rotation: float = 30.0
-    trials_per_second: float = 8.0
+    max_missed_probes: int = 8
+    contact_age: float = 15.0
+    relink_delay: float = 20.0
+    rotation_interval: float = 30.0
+    unlinked_probes_per_second: float = 8.0
     suspect_age: float = 7200.0
     tombstone_age: float = 86_400.0
     notice_age: float = 60.0
-    frame_items: int = 40
-    sync_frames: int = 2
+    items_per_frame: int = 40
+    max_sync_frames: int = 2
     referrals: int = 3
     fetch_timeout: float = 1.0
     rate: float = 1500.0
--- a/src/chervilwing/members.py
+++ b/src/chervilwing/members.py
@@ -1,61 +1,64 @@
-"""The entry instances that are known: who is suspected, and who was forgotten."""
+"""The known entry instances: their records, suspicions and tombstones."""
 
 from .gossip import SUSPECT, Record
 
 
 class Members:
-    """Keep the records of a table by address, with suspicions and tombstones.
+    """Index the records of a table by address, with suspicions and tombstones.
 
-    A tombstone is the incarnation of a forgotten instance: a peer that was cut off for
-    long still offers its record, which must not come back.
+    A tombstone holds the incarnation of a forgotten instance, so that its record is not
+    accepted again from a peer that was cut off for long.
     """
 
     def __init__(self, cfg, table):
         self._cfg = cfg
         self._table = table
-        self._names = {}
-        self._suspected = {}
+        self._name_by_address = {}
+        self._suspected_at = {}
         self._tombstones = {}
 
     def __len__(self):
-        return len(self._names)
+        return len(self._name_by_address)
 
-    def knows(self, address):
-        """Tell whether an instance at this address is known."""
-        return address in self._names
+    def has_address(self, address):
+        """Return whether an instance at this address is known."""
+        return address in self._name_by_address
 
     def find(self, address):
         """Return the record of the instance at an address, or None."""
-        name = self._names.get(address)
+        name = self._name_by_address.get(address)
         return None if name is None else self._table.get((Record, name))
 
     def list_records(self):
         """Return the records of all known instances."""
         return tuple(self._table.items(Record))
 
-    def keep(self, record, now):
-        """Keep a record if it is newer; return whether it was."""
+    def merge(self, record, now):
+        """Store a record if it is newer; return whether it was."""
         if not self._table.merge(record):
             return False
-        self._names[record.address] = record.name
-        self._suspected.pop(record.name, None)
+        self._name_by_address[record.address] = record.name
+        self._suspected_at.pop(record.name, None)
         if record.state == SUSPECT:
-            self._suspected[record.name] = now
+            self._suspected_at[record.name] = now
         return True
 
     def is_forgotten(self, record):
-        """Tell whether this or a later incarnation was forgotten."""
-        buried, _ = self._tombstones.get(record.name, (0, 0.0))
-        return record.incarnation <= buried
+        """Return whether this or a later incarnation was forgotten."""
+        forgotten, _ = self._tombstones.get(record.name, (0, 0.0))
+        return record.incarnation <= forgotten
 
     def expire(self, now):
-        """Forget those suspected for long, and old tombstones; return the former."""
+        """Forget instances suspected for ``suspect_age`` seconds; return their records.
+
+        Also drop expired tombstones.
+        """
         for name, (_, until) in list(self._tombstones.items()):
             if until < now:
                 del self._tombstones[name]
         return [
             self._forget(name, now)
-            for name, since in list(self._suspected.items())
+            for name, since in list(self._suspected_at.items())
             if since + self._cfg.suspect_age < now
         ]
 
@@ -63,7 +66,7 @@
         record = self._table.get((Record, name))
         until = now + self._cfg.tombstone_age
         self._tombstones[name] = (record.incarnation, until)
-        self._names.pop(record.address, None)
-        del self._suspected[name]
+        self._name_by_address.pop(record.address, None)
+        del self._suspected_at[name]
         self._table.drop((Record, name))
         return record
--- a/src/chervilwing/membership.py
+++ b/src/chervilwing/membership.py
@@ -1,4 +1,4 @@
-"""Membership and the spread of notices and revisions by gossip over partial views."""
+"""Gossip membership, notices and configuration revisions over partial views."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -16,43 +16,43 @@
     Revision,
     Rumours,
     Table,
+    decode_items,
+    encode_items,
     from_wire,
     key_of,
-    order_of,
-    read_body,
-    to_body,
+    priority_of,
     to_wire,
-    urgency_of,
+    version_of,
 )
 from .members import Members
 from .models import Address
 from .transfer import Transfer
 from .views import View
 
-# An IP header and a TCP header with timestamps go with each small frame; the budget
-# counts them, since the operators pay for them.
+# The IP header and the TCP header with timestamps of a small frame. The byte budget
+# counts them, since the network traffic is paid for.
 HEADER_BYTES = 52
 
-# Seconds by which a clock may be corrected backwards without being taken as set back.
+# Seconds; a clock that jumps back by more resets the schedule.
 CLOCK_STEP = 1.0
 
 
 class Send(NamedTuple):
-    """Ask the transport to write an encoded frame to the instance at an address."""
+    """Send an encoded frame to the instance at an address."""
 
     peer: Address
     data: bytes
 
 
 class Heard(NamedTuple):
-    """Tell what is new here; a revision comes with its whole ``value``."""
+    """Report a new or newer item; a revision comes with its complete ``value``."""
 
     item: Record | Notice | Revision
     value: bytes = b""
 
 
 class Description(NamedTuple):
-    """What the status page shows of the membership."""
+    """Describe the membership for the status page."""
 
     members: int
     suspects: int
@@ -63,18 +63,18 @@
     digest: str
 
 
-class Chore(NamedTuple):
-    """Something that ``tick`` runs again after each period, in seconds."""
+class PeriodicTask(NamedTuple):
+    """A function that ``tick`` runs periodically; ``period`` returns seconds."""
 
     run: Callable
     period: Callable
 
 
 class Membership:
-    """Hold what this instance knows of its peers, notices and the newest revision.
+    """Maintain the table of peers and notices, and the newest revision.
 
-    ``now`` is in Unix seconds, since the deadlines of notices are. ``receive`` raises
-    BadFrame on a wrong body and nothing else.
+    ``now`` is in Unix seconds, like the deadlines of notices. ``receive`` raises
+    BadFrame on a malformed body and no other exception.
     """
 
     def __init__(self, cfg, record, rng):
@@ -84,19 +84,19 @@
         self._seeds = []
         self._table = Table()
         self._members = Members(cfg, self._table)
-        self._rumours = Rumours(cfg.copies)
+        self._rumours = Rumours(cfg.max_pushes)
         self._view = View(cfg, record, rng)
         self._budget = Budget(cfg.rate, cfg.burst)
         self._transfer = Transfer(cfg)
-        self._chores = (
-            Chore(self._maintain, lambda: cfg.probe_interval),
-            Chore(self._probe, lambda: cfg.probe_interval),
-            Chore(self._rotate, lambda: cfg.rotation),
-            Chore(self._try_unlinked, self._trial_interval),
-            Chore(self._fetch_again, lambda: cfg.fetch_timeout),
-            Chore(self._push_rumours, lambda: cfg.interval),
+        self._tasks = (
+            PeriodicTask(self._maintain, lambda: cfg.probe_interval),
+            PeriodicTask(self._probe, lambda: cfg.probe_interval),
+            PeriodicTask(self._rotate_links, lambda: cfg.rotation_interval),
+            PeriodicTask(self._probe_unlinked, self._unlinked_probe_interval),
+            PeriodicTask(self._retry_fetch, lambda: cfg.fetch_timeout),
+            PeriodicTask(self._push_rumours, lambda: cfg.interval),
         )
-        self._due = [0.0] * len(self._chores)
+        self._due_at = [0.0] * len(self._tasks)
         self._now = 0.0
         self._handlers = {
             "hello": self._on_hello,
@@ -113,65 +113,68 @@
         self._keep(record)
 
     def join(self, seeds):
-        """Name the addresses to try while no other instance is heard."""
+        """Set the seed addresses to contact while no other instance is reachable."""
         self._seeds = [seed for seed in seeds if seed != self._record.address]
 
-    def greet(self):
-        """Return the bytes that start every stream: who opened it."""
+    def encode_hello(self):
+        """Return the encoded frame that starts each stream: this instance's record."""
         return frames.encode(Frame("hello", to_wire(self._record)))
 
     def tick(self, now):
-        """Do what is due and return the bytes to send; call it each ``interval``."""
+        """Run due tasks and return the frames to send; call it each ``interval``."""
         if now < self._now - CLOCK_STEP:
-            self._start_over()
+            self._reset_schedule()
         self._now = now
         self._budget.refill(now)
         self._transfer.refill(now)
         sends = []
-        for number, chore in enumerate(self._chores):
-            if now >= self._due[number]:
-                self._due[number] = now + chore.period()
-                sends += chore.run(now)
+        for number, task in enumerate(self._tasks):
+            if now >= self._due_at[number]:
+                self._due_at[number] = now + task.period()
+                sends += task.run(now)
         return tuple(sends)
 
     def receive(self, peer, frame, now):
-        """Take a frame from the instance at ``peer``; raise BadFrame on a wrong one."""
+        """Handle a frame from the instance at ``peer``; return sends and new items.
+
+        Raise BadFrame if it is malformed.
+        """
         handler = self._handlers.get(frame.type)
         if handler is None:
             raise BadFrame(f"frame type {frame.type!r} is unknown")
-        outcome = handler(peer, frame.body, now)
-        self._note_heard(peer, now)
-        return tuple(outcome)
+        actions = handler(peer, frame.body, now)
+        self._record_contact(peer, now)
+        return tuple(actions)
 
     def publish(self, notice, now):
-        """Spread a notice that this instance learned from outside."""
-        return tuple(self._take([notice], None, now, rumour=True))
+        """Gossip a notice that this instance received from outside the fleet."""
+        return tuple(self._accept([notice], None, now, spread=True))
 
     def publish_revision(self, number, value, now):
-        """Spread a configuration read from the platform; an older one is ignored."""
-        revision = self._transfer.keep(number, value)
+        """Gossip a configuration read from the store; ignore an older one."""
+        revision = self._transfer.store_value(number, value)
         if self._keep(revision):
             self._rumours.add(revision)
 
     def leave(self):
-        """Tell the others that this instance takes no more work."""
+        """Announce that this instance accepts no more work."""
         self._announce(self._record._replace(state=LEAVING))
 
-    def lose(self, peer, now):
-        """Take a refused or broken stream as a failed link."""
+    def handle_lost_stream(self, peer, now):
+        """Treat a refused or broken stream to ``peer`` as a failed link."""
         if peer in self._view.links():
-            self._give_up(peer, now)
+            self._drop_link(peer, now)
 
     def peers(self):
         """Return the addresses to keep streams to."""
         return self._view.links()
 
     def members(self):
-        """Return the records of all known instances, this one's included."""
+        """Return the records of all known instances, including this one."""
         return self._members.list_records()
 
     def notices(self):
-        """Return the notices that are still kept."""
+        """Return the notices that have not expired."""
         return tuple(self._table.items(Notice))
 
     def revision(self):
@@ -197,62 +200,66 @@
             digest=self._table.digest().hex(),
         )
 
-    def _start_over(self):
-        """Choose links anew after the clock was set back.
+    def _reset_schedule(self):
+        """Make all tasks due and choose new links after the clock was set back.
 
-        All times kept would lie ahead: no chore would be due and no silence counted
-        until the clock catches up, so this instance would miss notices for as long.
+        All stored times lie in the future. Until the clock caught up, no task would run
+        and no peer would count as silent, so this instance would miss notices.
         """
-        self._due = [0.0] * len(self._chores)
+        self._due_at = [0.0] * len(self._tasks)
         self._view = View(self._cfg, self._record, self._rng)
 
-    # Chores of tick.
+    # Periodic tasks.
 
     def _maintain(self, now):
         self._view.refill(self.members(), now)
-        self._view.forget_old(now)
+        self._view.drop_old_entries(now)
         self._expire(now)
         return []
 
     def _probe(self, now):
         for peer in self._view.collect_silent(now):
-            self._give_up(peer, now)
+            self._drop_link(peer, now)
         targets = self._view.choose_probes()
-        if self._seeds and not self._view.heard_within(self._cfg.inbound_age, now):
+        if self._seeds and not self._view.has_contact_within(
+            self._cfg.contact_age, now
+        ):
             targets.append(self._rng.choice(self._seeds))
         return [self._ping(peer, now) for peer in dict.fromkeys(targets)]
 
-    def _rotate(self, now):
+    def _rotate_links(self, now):
         self._view.rotate()
         return []
 
-    def _try_unlinked(self, now):
-        # Instances that joined by different seeds are separate groups, each of which
-        # hears its own members and would never look for the other; a seed that is no
-        # known member is therefore tried for as long as it is named.
-        strange = [seed for seed in self._seeds if not self._members.knows(seed)]
-        doubted = self._view.choose_trial(self.members())
-        peer = self._rng.choice([doubted, *strange])
+    def _probe_unlinked(self, now):
+        # Instances that joined through different seeds form separate groups, which
+        # would never find each other once their own members respond. So a seed is
+        # probed for as long as it is not a known member.
+        unknown_seeds = [
+            seed for seed in self._seeds if not self._members.has_address(seed)
+        ]
+        unlinked = self._view.choose_unlinked(self.members())
+        peer = self._rng.choice([unlinked, *unknown_seeds])
         return [] if peer is None else [self._ping(peer, now)]
 
-    def _trial_interval(self):
-        # All instances together make a fixed number of trials a second, so that a
-        # healed cut is found equally soon in a small fleet and costs a large one no
-        # more.
-        return max(1.0, len(self._members) / self._cfg.trials_per_second)
+    def _unlinked_probe_interval(self):
+        # All instances together send a fixed number of these probes a second, so that
+        # the end of a partition is detected equally fast in a fleet of any size, at the
+        # same total cost.
+        return max(1.0, len(self._members) / self._cfg.unlinked_probes_per_second)
 
-    def _fetch_again(self, now):
-        overdue = self._transfer.ask_again(now)
+    def _retry_fetch(self, now):
+        overdue = self._transfer.retry(now)
         if overdue is None:
             return []
         peer, body = overdue
         return [self._send(peer, "fetch", body)]
 
     def _push_rumours(self, now):
-        """Push to a few neighbours; an item goes out ``copies`` times at most.
+        """Push to a few neighbours; each item is pushed ``max_pushes`` times at most.
 
-        The bound keeps the bytes per node fixed as the fleet grows; instances that
-        all pushes miss are found by the digests in pings.
+        The limit keeps the bytes per instance constant as the fleet grows. Instances
+        that no push reaches get the item after a ping shows that the digests differ.
         """
         if not len(self._rumours):
             return []
@@ -261,31 +268,31 @@
         self._rng.shuffle(neighbours)
         sends = []
         for peer in neighbours[: self._cfg.fanout]:
-            items = self._rumours.pick(peer, self._cfg.frame_items)
-            if items and self._budget.has(0):
-                self._rumours.note_pushed(items, peer)
-                sends.append(self._send(peer, "push", to_body(items)))
+            items = self._rumours.select(peer, self._cfg.items_per_frame)
+            if items and self._budget.is_above(0):
+                self._rumours.record_push(items, peer)
+                sends.append(self._send(peer, "push", encode_items(items)))
         return sends
 
-    # Handlers of frames.
+    # Frame handlers.
 
     def _on_hello(self, peer, body, now):
         item = from_wire(body)
         if type(item) is not Record:
             raise BadFrame("a stream starts with the record of its opener")
-        return self._take([item], peer, now, rumour=True)
+        return self._accept([item], peer, now, spread=True)
 
     def _on_ping(self, peer, body, now):
         if _check_bytes(body) == self._table.digest():
             return [self._send(peer, "ack", None)]
-        if self._budget.has(self._cfg.sync_reserve):
+        if self._budget.is_above(self._cfg.sync_reserve):
             return [self._send(peer, "buckets", self._table.bucket_digests())]
-        # Hundreds that start at once all ask the few seeds, whose budget is soon used
-        # up; each is then told of a few others to ask, else it would know the seed
-        # alone for minutes.
+        # When hundreds of instances start at once, all ask the few seeds, whose byte
+        # budget is soon used up. Each then gets a few other addresses to ask; otherwise
+        # it would know only the seed for minutes.
         count = min(self._cfg.referrals, len(self._members))
         records = self._rng.sample(self.members(), count)
-        return [self._send(peer, "items", to_body(records))]
+        return [self._send(peer, "items", encode_items(records))]
 
     def _on_ack(self, peer, body, now):
         return []
@@ -305,76 +312,76 @@
         return self._send_items(peer, select_wanted(self._table, body))
 
     def _on_push(self, peer, body, now):
-        return self._take(read_body(body), peer, now, rumour=True)
+        return self._accept(decode_items(body), peer, now, spread=True)
 
     def _on_items(self, peer, body, now):
-        return self._take(read_body(body), peer, now, rumour=False)
+        return self._accept(decode_items(body), peer, now, spread=False)
 
     def _on_fetch(self, peer, body, now):
         reply = self._transfer.serve(*check_pair(body, int))
         if reply is None:
             return []
-        # Values have a budget of their own: one of them is more than the control
-        # traffic of a minute, and would hold up every notice behind it.
+        # Values have their own budget: a single value exceeds the control traffic of a
+        # minute and would delay all notices behind it.
         return [Send(peer, frames.encode(Frame("value", reply)))]
 
     def _on_value(self, peer, body, now):
-        revision, ask = self._transfer.receive(body, now)
-        if ask is not None:
-            return [self._send(peer, "fetch", ask)]
+        revision, fetch = self._transfer.receive(body, now)
+        if fetch is not None:
+            return [self._send(peer, "fetch", fetch)]
         if revision is None:
             return []
-        # The number goes on only now that the value is here: whoever hears it from
-        # this instance can fetch it from this instance.
+        # Announce the number only once the value is complete, so that each peer that
+        # receives it from this instance can also fetch the value here.
         self._keep(revision)
         self._rumours.add(revision, peer)
         return [Heard(revision, self._transfer.value())]
 
     # Items.
 
-    def _take(self, items, peer, now, rumour):
-        outcome = []
+    def _accept(self, items, peer, now, spread):
+        actions = []
         for item in items:
-            outcome += self._takers[type(item)](self, item, peer, now, rumour)
-        return outcome
+            actions += self._acceptors[type(item)](self, item, peer, now, spread)
+        return actions
 
-    def _take_record(self, record, peer, now, rumour):
+    def _accept_record(self, record, peer, now, spread):
         if record.name == self._record.name:
             self._refute(record)
             return []
         if self._members.is_forgotten(record):
             return []
-        return self._take_newer(record, peer, now, rumour)
+        return self._accept_if_newer(record, peer, now, spread)
 
-    def _take_notice(self, notice, peer, now, rumour):
-        # A peer that was cut off still offers notices that all others let go; taking
-        # them back would shut out an upstream that has since been replaced.
+    def _accept_notice(self, notice, peer, now, spread):
+        # A peer that was cut off still sends notices that the others have expired.
+        # Accepting them would exclude an upstream that has since been replaced.
         if notice.deadline + self._cfg.notice_age < now:
             return []
-        return self._take_newer(notice, peer, now, rumour=True)
+        return self._accept_if_newer(notice, peer, now, spread=True)
 
-    def _take_revision(self, revision, peer, now, rumour):
-        self._rumours.note_known(revision, peer)
-        ask = self._transfer.offer(revision, peer, now)
-        return [] if ask is None else [self._send(peer, "fetch", ask)]
+    def _accept_revision(self, revision, peer, now, spread):
+        self._rumours.record_holder(revision, peer)
+        fetch = self._transfer.record_offer(revision, peer, now)
+        return [] if fetch is None else [self._send(peer, "fetch", fetch)]
 
-    _takers = {
-        Record: _take_record,
-        Notice: _take_notice,
-        Revision: _take_revision,
+    _acceptors = {
+        Record: _accept_record,
+        Notice: _accept_notice,
+        Revision: _accept_revision,
     }
 
-    def _take_newer(self, item, peer, now, rumour):
+    def _accept_if_newer(self, item, peer, now, spread):
         if not self._keep(item, now):
-            self._rumours.note_known(item, peer)
+            self._rumours.record_holder(item, peer)
             return []
-        if rumour:
+        if spread:
             self._rumours.add(item, peer)
         return [Heard(item)]
 
     def _keep(self, item, now=0.0):
         if type(item) is Record:
-            return self._members.keep(item, now)
+            return self._members.merge(item, now)
         return self._table.merge(item)
 
     def _announce(self, record):
@@ -383,29 +390,30 @@
         self._rumours.add(record)
 
     def _refute(self, record):
-        """Start a new incarnation when others hold something newer of this instance.
+        """Start a new incarnation if a peer has a newer record of this instance.
 
-        A false suspicion, or a restart whose clock stands earlier than that of the
-        last run: without this the others would keep the wrong record for good.
+        That happens after a false suspicion, or after a restart with a clock behind
+        that of the previous run. Without a new incarnation the peers would keep the
+        wrong record for good.
         """
-        if order_of(record) > order_of(self._record):
+        if version_of(record) > version_of(self._record):
             incarnation = record.incarnation + 1
             self._announce(self._record._replace(incarnation=incarnation))
 
     # Health of peers.
 
-    def _note_heard(self, peer, now):
+    def _record_contact(self, peer, now):
         record = self._members.find(peer)
         data_centre = None if record is None else record.data_centre
-        if self._view.note_heard(peer, data_centre, now):
+        if self._view.record_contact(peer, data_centre, now):
             self._view.rebalance(self.members(), now)
 
-    def _give_up(self, peer, now):
-        """Drop a silent link; suspect its instance if its data centre is heard.
+    def _drop_link(self, peer, now):
+        """Drop a silent link; suspect its instance if its data centre is reachable.
 
-        When nothing of the data centre is heard, cut off and gone look the same, and
-        suspecting each of its instances would cost a burst of rumours at the cut and
-        another at the healing.
+        If the whole data centre is silent, it may be gone or only cut off. Suspecting
+        each of its instances would cost a burst of rumours when the partition starts
+        and another when it ends.
         """
         silent_since = self._view.silent_since(peer)
         self._view.drop(peer, now)
@@ -417,8 +425,8 @@
             for other in self.members()
             if other.data_centre == record.data_centre and other.address != peer
         ]
-        if not self._view.heard_since(others, silent_since):
-            self._view.note_centre_failed(record.data_centre)
+        if not self._view.has_contact_since(others, silent_since):
+            self._view.record_failed_link(record.data_centre)
             return
         suspect = record._replace(state=SUSPECT)
         if self._keep(suspect, now):
@@ -435,16 +443,16 @@
     # Frames.
 
     def _ping(self, peer, now):
-        self._view.note_asked(peer, now)
+        self._view.record_probe(peer, now)
         return self._send(peer, "ping", self._table.digest())
 
     def _send_items(self, peer, items):
-        size = self._cfg.frame_items
-        items = sorted(items, key=urgency_of)[: size * self._cfg.sync_frames]
+        size = self._cfg.items_per_frame
+        items = sorted(items, key=priority_of)[: size * self._cfg.max_sync_frames]
         sends = []
         for start in range(0, len(items), size):
-            if self._budget.has(self._cfg.sync_reserve):
-                body = to_body(items[start : start + size])
+            if self._budget.is_above(self._cfg.sync_reserve):
+                body = encode_items(items[start : start + size])
                 sends.append(self._send(peer, "items", body))
         return sends
 
@@ -456,5 +464,5 @@
 
 def _check_bytes(body):
     if type(body) is not bytes:
-        raise BadFrame("a digest is bytes")
+        raise BadFrame("a digest must be bytes")
     return body
--- a/src/chervilwing/peers.py
+++ b/src/chervilwing/peers.py
@@ -133,14 +133,14 @@
         stream = _Stream(conn, address, time.monotonic(), dialled=True)
         self._by_conn[conn] = stream
         self._by_address[address] = stream
-        self._streams.send(conn, self._membership.greet())
+        self._streams.send(conn, self._membership.encode_hello())
         return stream
 
     def _opened(self, conn):
         if conn in self._by_conn:
             return
         self._by_conn[conn] = _Stream(conn, None, time.monotonic(), dialled=False)
-        self._streams.send(conn, self._membership.greet())
+        self._streams.send(conn, self._membership.encode_hello())
 
     def _received(self, conn, data):
         stream = self._by_conn[conn]
@@ -202,7 +202,9 @@
         if self._by_address.get(stream.address) is stream:
             del self._by_address[stream.address]
         if stream.dialled and exc is not None:
-            self.apply(self._membership.lose(stream.address, time.time()) or ())
+            self.apply(
+                self._membership.handle_lost_stream(stream.address, time.time()) or ()
+            )
 
 
 TAKERS = {MESSAGE: Peers._deliver, PART: Peers._gather}
--- a/src/chervilwing/transfer.py
+++ b/src/chervilwing/transfer.py
@@ -1,30 +1,30 @@
-"""Fetch the value of a newer configuration from a peer, in chunks."""
+"""Serve the newest configuration to peers and fetch a newer one, in chunks."""
 
 import zlib
 
 from .exceptions import BadFrame, TooLarge
 from .gossip import Budget, Revision, digest
 
-MAX_VALUE = 1_048_576
-CHUNK = 49_152
+MAX_VALUE_BYTES = 1_048_576
+CHUNK_BYTES = 49_152
 
 
-class Pending:
-    """A value on its way: what is here of it, and who has the whole of it."""
+class PendingFetch:
+    """Hold a value that is being fetched, and the peers that have all of it."""
 
     def __init__(self, revision, peer, now):
         self.revision = revision
         self.holders = [peer]
         self.data = bytearray()
-        self.asked = now
+        self.asked_at = now
 
-    def ask(self):
-        """Return the body of the next fetch."""
+    def request_body(self):
+        """Return the body of the next ``fetch``: revision number and byte offset."""
         return [self.revision.number, len(self.data)]
 
 
 class Transfer:
-    """Hold the newest revision with its value, and the fetch of a newer one."""
+    """Hold the newest revision with its value, and the pending fetch of a newer one."""
 
     def __init__(self, cfg):
         self._cfg = cfg
@@ -34,7 +34,7 @@
         self._pending = None
 
     def refill(self, now):
-        """Add what the time since the last call allows to the bytes to serve."""
+        """Refill the byte budget for serving values; ``now`` in seconds."""
         self._budget.refill(now)
 
     def newest(self):
@@ -45,59 +45,71 @@
         """Return the value of the newest revision, or None."""
         return None if self._newest is None else zlib.decompress(self._packed)
 
-    def keep(self, number, value):
-        """Keep a value unless a newer one is here; raise TooLarge over a megabyte."""
-        if len(value) > MAX_VALUE:
-            raise TooLarge(f"a configuration of {len(value)} bytes is over {MAX_VALUE}")
+    def store_value(self, number, value):
+        """Store a value unless a newer one is held; return the newest revision.
+
+        Raise TooLarge over ``MAX_VALUE_BYTES``.
+        """
+        if len(value) > MAX_VALUE_BYTES:
+            raise TooLarge(
+                f"a configuration of {len(value)} bytes is over {MAX_VALUE_BYTES}"
+            )
         if self._is_newer(number):
             packed = zlib.compress(value)
             self._store(Revision(number, len(packed), digest(packed)), packed)
         return self._newest
 
-    def offer(self, revision, peer, now):
-        """Note that a peer has a revision; return the body of a fetch, or None."""
+    def record_offer(self, revision, peer, now):
+        """Record that a peer has a revision; return the body of a fetch, or None."""
         pending = self._pending
         if not self._is_newer(revision.number):
             return None
         if pending is None or revision.number > pending.revision.number:
-            self._pending = Pending(revision, peer, now)
-            return self._pending.ask()
+            self._pending = PendingFetch(revision, peer, now)
+            return self._pending.request_body()
         if revision == pending.revision and peer not in pending.holders:
             pending.holders.append(peer)
         return None
 
-    def ask_again(self, now):
-        """Return the next holder and the body of a fetch when an answer is overdue."""
+    def retry(self, now):
+        """Return the next holder and the body of a fetch if a reply is overdue."""
         pending = self._pending
-        if pending is None or abs(now - pending.asked) < self._cfg.fetch_timeout:
+        if pending is None or abs(now - pending.asked_at) < self._cfg.fetch_timeout:
             return None
-        pending.asked = now
+        pending.asked_at = now
         pending.holders.append(pending.holders.pop(0))
-        return pending.holders[0], pending.ask()
+        return pending.holders[0], pending.request_body()
 
     def serve(self, number, offset):
-        """Return the body that answers a fetch, or None when it can't be answered."""
+        """Return the body that answers a fetch.
+
+        Return None if the revision isn't held, the offset is past its end, or the byte
+        budget is used up.
+        """
         held = self._newest is not None and self._newest.number == number
-        if not held or offset >= len(self._packed) or not self._budget.has(0.0):
+        if not held or offset >= len(self._packed) or not self._budget.is_above(0.0):
             return None
-        chunk = self._packed[offset : offset + CHUNK]
+        chunk = self._packed[offset : offset + CHUNK_BYTES]
         self._budget.spend(len(chunk))
         return [number, offset, chunk]
 
     def receive(self, body, now):
-        """Take a chunk; return the revision when it is whole, and the next fetch."""
-        number, offset, chunk = _check_value(body)
+        """Store a chunk; return the revision once complete, else the next fetch.
+
+        Both are returned as a pair, either of them None.
+        """
+        number, offset, chunk = _check_value_body(body)
         pending = self._pending
         if pending is None or number != pending.revision.number:
             return None, None
-        # A chunk asked for twice also arrives twice; only the one that continues the
-        # data counts, else the value would be spliced wrongly.
+        # After a repeated request a chunk can arrive twice. Only a chunk that continues
+        # the data may be appended.
         if offset != len(pending.data):
             return None, None
         pending.data += chunk
-        pending.asked = now
+        pending.asked_at = now
         if len(pending.data) < pending.revision.size:
-            return None, pending.ask()
+            return None, pending.request_body()
         return self._finish(pending), None
 
     def _finish(self, pending):
@@ -120,19 +132,19 @@
             self._pending = None
 
 
-def _check_value(body):
+def _check_value_body(body):
     if not isinstance(body, list) or [type(part) for part in body] != [int, int, bytes]:
-        raise BadFrame("a value is a number, an offset and bytes")
+        raise BadFrame("a value must be a number, an offset and bytes")
     return body
 
 
 def _check_packed(packed):
-    # A few kilobytes can unpack to gigabytes; the limit keeps one bad peer from
-    # taking all of the memory.
+    # A few kilobytes can decompress to gigabytes; without the limit a faulty peer could
+    # use up the memory.
     stream = zlib.decompressobj()
     try:
-        value = stream.decompress(packed, MAX_VALUE + 1)
+        value = stream.decompress(packed, MAX_VALUE_BYTES + 1)
     except zlib.error as exc:
         raise BadFrame(f"value is not compressed: {exc}") from exc
-    if len(value) > MAX_VALUE or not stream.eof:
-        raise BadFrame("value is over its limit or cut short")
+    if len(value) > MAX_VALUE_BYTES or not stream.eof:
+        raise BadFrame("value is over its limit or truncated")
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Many memberships in one process, with simulated time, loss and cuts."""
+"""A fleet of memberships in one process, with simulated time, loss and partitions."""
 
 import heapq
 import random
@@ -16,24 +16,27 @@
 )
 from chervilwing.models import Address
 
-START = 1_800_000_000.0
+START_TIME = 1_800_000_000.0
 REGIONS = {"a": "south", "b": "south", "c": "south", "d": "west", "e": "west"}
-LOOK = 0.02
-LARGE = 8192
-NEAR, FAR, ABROAD = 0.0005, 0.0015, 0.05
+# Simulated seconds between two checks of the condition that a run waits for.
+POLL_INTERVAL = 0.02
+# A frame over this size carries a configuration value and is counted apart.
+VALUE_FRAME_BYTES = 8192
+# One way, in seconds.
+SAME_CENTRE_DELAY, SAME_REGION_DELAY, CROSS_REGION_DELAY = 0.0005, 0.0015, 0.05
 
 
 class Fleet:
-    """Hold the instances, the frames under way and what was counted."""
+    """Hold the instances, the frames in transit and the traffic counters."""
 
     def __init__(self, size, seed, loss=0.0, cfg=None, centres="abcde"):
         self.rng = random.Random(seed)
         self.cfg = cfg or MembershipSettings()
         self.loss = loss
-        self.now = START
+        self.now = START_TIME
         self.cut = set()
         self.nodes = {}
-        self.heard = {}
+        self.received_at = {}
         self.sent_bytes = Counter()
         self.headers = 0
         self.value_bytes = 0
@@ -44,7 +47,7 @@
             self.start(f"entry-{number}", centres[number % len(centres)], number)
 
     def start(self, name, centre, number, incarnation=1):
-        """Start an instance, or start it anew without its state."""
+        """Start an instance, or restart it without its state."""
         address = Address("127.0.0.1", 20_000 + number)
         record = Record(name, address, centre, REGIONS[centre], "live", incarnation)
         rng = random.Random(self.rng.random())
@@ -59,62 +62,64 @@
         return node
 
     def introduce(self):
-        """Let every instance know every other, as after a start long ago."""
+        """Give each instance the records of all others."""
         records = [to_wire(node.members()[0]) for node in self.nodes.values()]
         for address, node in self.nodes.items():
             node.receive(address, Frame("items", records), self.now)
 
     def stop(self, address):
-        """Kill an instance: its streams and state are gone."""
+        """Kill an instance, with its streams and state."""
         self.nodes.pop(address, None)
-        self.heard = {at: got for at, got in self.heard.items() if at[0] != address}
+        self.received_at = {
+            key: time for key, time in self.received_at.items() if key[0] != address
+        }
         self._streams = {pair for pair in self._streams if address not in pair}
 
     def run(self, seconds, until=None):
-        """Let time pass; return the seconds until ``until()`` held, or None."""
-        start, end, look = self.now, self.now + seconds, self.now
+        """Simulate ``seconds``; return the seconds until ``until()`` held, or None."""
+        start, end, next_poll = self.now, self.now + seconds, self.now
         while self._queue and self._queue[0][0] <= end:
-            self.now, _, address, sender, load = heapq.heappop(self._queue)
-            self._step(address, sender, load)
-            if until and self.now >= look:
+            self.now, _, address, sender, payload = heapq.heappop(self._queue)
+            self._deliver(address, sender, payload)
+            if until and self.now >= next_poll:
                 if until():
                     return self.now - start
-                look = self.now + LOOK
+                next_poll = self.now + POLL_INTERVAL
         self.now = end
         return None
 
     def all_heard(self, item, addresses=None):
-        """Tell whether all instances, or these, have heard of an item."""
-        return all((at, item) in self.heard for at in addresses or self.nodes)
+        """Return whether all instances, or these, have received an item."""
+        return all((at, item) in self.received_at for at in addresses or self.nodes)
 
     def agree(self):
-        """Tell whether all tables are alike."""
+        """Return whether the tables of all instances are equal."""
         return len({node.describe().digest for node in self.nodes.values()}) == 1
 
-    def take(self, address, outcome):
-        """Send what an instance wants sent and note what it heard."""
-        for entry in outcome:
-            if type(entry) is Send:
-                self._send(address, entry.peer, entry.data)
-            elif type(entry) is Heard:
-                self.heard.setdefault((address, entry.item), self.now)
+    def take(self, address, actions):
+        """Send the frames of an instance and record the items that it received."""
+        for action in actions:
+            if type(action) is Send:
+                self._send(address, action.peer, action.data)
+            elif type(action) is Heard:
+                self.received_at.setdefault((address, action.item), self.now)
 
-    def _step(self, address, sender, load):
+    def _deliver(self, address, sender, payload):
         node = self.nodes.get(address)
         if node is None:
             return
         if sender is not None:
-            for frame in Decoder().feed(load):
+            for frame in Decoder().feed(payload):
                 self.take(address, node.receive(sender, frame, self.now))
-        elif load is node:
+        elif payload is node:
             self.take(address, node.tick(self.now))
             self._push(self.now + self.cfg.interval, address, None, node)
 
     def _send(self, source, target, data):
         if (source, target) not in self._streams:
             self._streams |= {(source, target), (target, source)}
-            data = self.nodes[source].greet() + data
-        if len(data) > LARGE:
+            data = self.nodes[source].encode_hello() + data
+        if len(data) > VALUE_FRAME_BYTES:
             self.value_bytes += len(data)
         else:
             self.sent_bytes[source] += len(data) + HEADER_BYTES
@@ -131,8 +136,10 @@
 
     def _delay(self, here, there):
         if here == there:
-            return NEAR
-        return FAR if REGIONS[here] == REGIONS[there] else ABROAD
+            return SAME_CENTRE_DELAY
+        return (
+            SAME_REGION_DELAY if REGIONS[here] == REGIONS[there] else CROSS_REGION_DELAY
+        )
 
-    def _push(self, at, address, sender, load):
-        heapq.heappush(self._queue, (at, next(self._order), address, sender, load))
+    def _push(self, at, address, sender, payload):
+        heapq.heappush(self._queue, (at, next(self._order), address, sender, payload))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of membership: what spreads must reach all that can be reached."""
+"""Tests of membership: notices and revisions reach all reachable instances."""
 
 import json
 import random
@@ -24,16 +24,16 @@
 )
 from chervilwing.gossip_settings import MembershipSettings
 from chervilwing.membership import Heard, Send
-from chervilwing.transfer import CHUNK, MAX_VALUE
+from chervilwing.transfer import CHUNK_BYTES, MAX_VALUE_BYTES
 
 from .fleet import Fleet
 
-NOTICE_WITHIN = 3.0
-REVISION_WITHIN = 16.0
+MAX_NOTICE_DELAY = 3.0
+MAX_REVISION_DELAY = 16.0
 
 
 def make_value(revision, lines=200):
-    """Return a configuration document of the size of a small inventory."""
+    """Return a configuration document with ``lines`` upstreams."""
     entries = [{"name": f"engine-{n}", "slots": 8} for n in range(lines)]
     return json.dumps({"revision": revision, "upstreams": entries}).encode()
 
@@ -45,14 +45,14 @@
     return fleet
 
 
-def record_of(fleet, node, address):
-    """Return what one instance holds about another."""
+def find_record(fleet, node, address):
+    """Return the record that ``node`` has for an address, or None."""
     records = fleet.nodes[node].members()
     return next((record for record in records if record.address == address), None)
 
 
-def set_back(node, seconds):
-    """Run an instance by a clock that is behind by so many seconds."""
+def set_clock_back(node, seconds):
+    """Run an instance with a clock that is ``seconds`` behind."""
     tick, receive = node.tick, node.receive
     node.tick = lambda now: tick(now - seconds)
     node.receive = lambda peer, frame, now: receive(peer, frame, now - seconds)
@@ -65,11 +65,12 @@
     def publish_revision(self, fleet, number, address):
         fleet.nodes[address].publish_revision(number, make_value(number), fleet.now)
 
-    def test_notice_heard_by_one_reaches_all_in_time(self):
-        """New work still goes to an engine that is being reclaimed.
+    def test_notice_received_by_one_reaches_all_in_time(self):
+        """New work is sent to an engine that is being reclaimed.
 
-        Only one entry instance heard the cloud's notice; the list lags by seconds.
-        The others must hear it within 3 s, also when a fifth of the frames is lost.
+        Only one entry instance received the cloud's notice; the instance list lags by
+        seconds. All others must receive it within 3 s, even if a fifth of the frames is
+        lost.
         """
         for size, loss in ((6, 0.0), (24, 0.0), (24, 0.2), (100, 0.05)):
             with self.subTest(size=size, loss=loss):
@@ -78,13 +79,13 @@
                     notice = Notice(UPSTREAM, f"engine-{number}", fleet.now + 30)
                     self.publish(fleet, notice, fleet.rng.choice(list(fleet.nodes)))
                     done = partial(fleet.all_heard, notice)
-                    self.assertIsNotNone(fleet.run(NOTICE_WITHIN, done))
+                    self.assertIsNotNone(fleet.run(MAX_NOTICE_DELAY, done))
 
-    def test_wave_of_notices_stays_within_the_budget(self):
-        """A data centre's worth of notices comes at once, all heard by one instance.
+    def test_burst_of_notices_stays_within_the_byte_budget(self):
+        """Notices for all engines of a data centre reach one instance at once.
 
-        130 engines leave together. All must hear all of them in 3 s, and no instance
-        may send more than its burst and rate allow.
+        130 engines leave together. All instances must receive all notices within 3 s,
+        and none may send more bytes than its burst and rate allow.
         """
         fleet = make_fleet(40)
         before = fleet.sent_bytes.copy()
@@ -96,10 +97,10 @@
         for notice in notices:
             self.publish(fleet, notice, address)
         done = fleet.run(
-            NOTICE_WITHIN, lambda: all(fleet.all_heard(notice) for notice in notices)
+            MAX_NOTICE_DELAY, lambda: all(fleet.all_heard(notice) for notice in notices)
         )
         self.assertIsNotNone(done)
-        limit = fleet.cfg.burst + fleet.cfg.rate * NOTICE_WITHIN
+        limit = fleet.cfg.burst + fleet.cfg.rate * MAX_NOTICE_DELAY
         worst = max(fleet.sent_bytes[at] - before[at] for at in fleet.nodes)
         self.assertLess(worst, limit)
 
@@ -107,46 +108,48 @@
         fleet = make_fleet(24, loss=0.05)
         self.publish_revision(fleet, 7, next(iter(fleet.nodes)))
         done = fleet.run(
-            REVISION_WITHIN,
+            MAX_REVISION_DELAY,
             lambda: all(node.revision() == 7 for node in fleet.nodes.values()),
         )
         self.assertIsNotNone(done)
         values = {node.value() for node in fleet.nodes.values()}
         self.assertEqual(values, {make_value(7)})
 
-    def test_value_that_was_brought_starts_no_rumour_when_published(self):
-        # Each instance publishes what came into force, also what a peer brought: told
-        # anew by all, one edit would go round the fleet once for each instance.
+    def test_publishing_a_received_value_starts_no_rumour(self):
+        # Each instance publishes the value that it put in force, also one received from
+        # a peer. If that started a rumour, each edit would be spread once per instance.
         fleet = make_fleet(8, centres="ab")
         first, last = list(fleet.nodes)[::7]
         self.publish_revision(fleet, 7, first)
-        fleet.run(REVISION_WITHIN)
+        fleet.run(MAX_REVISION_DELAY)
         node = fleet.nodes[last]
         self.assertEqual((node.revision(), node.describe().rumours), (7, 0))
         self.publish_revision(fleet, 7, last)
         self.assertEqual(node.describe().rumours, 0)
 
-    def test_cut_heals_and_both_sides_merge(self):
-        """After a cut, callers of one side meet rules that the other side changed.
+    def test_both_sides_merge_after_a_partition(self):
+        """After a partition, one side still applies rules that the other side replaced.
 
-        Data centre c is cut off for 90 s. Meanwhile the rest passes on revision 9 and
-        a notice, and c a notice of its own. Nothing crosses during the cut; once it
-        heals both sides must hold all of it.
+        Data centre c is cut off for 90 s. Meanwhile the others spread revision 9 and a
+        notice, and c another notice. Nothing crosses during the partition; afterwards
+        both sides must hold all of it.
         """
         fleet = make_fleet(24)
         fleet.cut = {"c"}
         fleet.run(60.0)
         inside = [at for at, node in fleet.nodes.items() if node.centre == "c"]
         outside = [at for at in fleet.nodes if at not in inside]
-        theirs = Notice(UPSTREAM, "engine-c", fleet.now + 300)
-        ours = Notice(DATA_CENTRE, "b", fleet.now + 300)
-        self.publish(fleet, theirs, inside[0])
-        self.publish(fleet, ours, outside[0])
+        notice_inside = Notice(UPSTREAM, "engine-c", fleet.now + 300)
+        notice_outside = Notice(DATA_CENTRE, "b", fleet.now + 300)
+        self.publish(fleet, notice_inside, inside[0])
+        self.publish(fleet, notice_outside, outside[0])
         self.publish_revision(fleet, 9, outside[0])
         fleet.run(30.0)
-        self.assertTrue(fleet.all_heard(ours, outside))
-        self.assertTrue(fleet.all_heard(theirs, inside))
-        self.assertFalse(any((at, ours) in fleet.heard for at in inside))
+        self.assertTrue(fleet.all_heard(notice_outside, outside))
+        self.assertTrue(fleet.all_heard(notice_inside, inside))
+        self.assertFalse(
+            any((at, notice_outside) in fleet.received_at for at in inside)
+        )
         found = [fleet.nodes[at].describe().cut_off for at in outside]
         self.assertIn(("c",), found)
         self.assertEqual(set(found), {("c",), ()})
@@ -154,20 +157,20 @@
         self.assertEqual(suspects, 0)
         fleet.cut = set()
         healed = fleet.run(
-            REVISION_WITHIN,
+            MAX_REVISION_DELAY,
             lambda: (
-                fleet.all_heard(ours)
-                and fleet.all_heard(theirs)
+                fleet.all_heard(notice_outside)
+                and fleet.all_heard(notice_inside)
                 and all(node.revision() == 9 for node in fleet.nodes.values())
             ),
         )
         self.assertIsNotNone(healed)
 
-    def test_regions_find_each_other_after_a_long_cut(self):
-        """The regions lost each other for long and stay apart after the healing.
+    def test_regions_reconnect_after_a_long_partition(self):
+        """After a long partition of the regions, they stay apart.
 
-        By then every instance has given up all links to the other region, and holds
-        its data centres as cut off, so it would choose none of them again.
+        Every instance has dropped its links to the other region by then and regards its
+        data centres as cut off, so it would not link to them again.
         """
         fleet = make_fleet(24)
         fleet.cut = {"d", "e"}
@@ -178,39 +181,39 @@
         notice = Notice(UPSTREAM, "engine-1", fleet.now + 300)
         self.publish(fleet, notice, next(iter(fleet.nodes)))
         done = partial(fleet.all_heard, notice)
-        self.assertIsNotNone(fleet.run(REVISION_WITHIN, done))
+        self.assertIsNotNone(fleet.run(MAX_REVISION_DELAY, done))
 
-    def test_stale_peer_does_not_bring_an_older_revision_back(self):
+    def test_stale_peer_does_not_restore_an_older_revision(self):
         """A rule that an operator withdrew is in force again.
 
-        One instance was cut off while revision 5 followed 4, then comes back and
-        offers what it holds, and an instance that started without disk while the
-        platform is down learns from its peers. Neither may end at revision 4.
+        An instance that was cut off while revision 5 replaced 4 is connected again and
+        offers revision 4. Another starts without stored state while the platform is
+        down and gets its configuration from peers. All must end at revision 5.
         """
         fleet = make_fleet(12, centres="abc")
         addresses = list(fleet.nodes)
         self.publish_revision(fleet, 4, addresses[0])
-        fleet.run(REVISION_WITHIN)
+        fleet.run(MAX_REVISION_DELAY)
         fleet.cut = {"c"}
         self.publish_revision(fleet, 5, addresses[0])
         fleet.run(30.0)
         fleet.cut = set()
         started = fleet.start("entry-1", "b", 1, incarnation=2)
         self.assertEqual(started.revision(), 0)
-        fleet.run(REVISION_WITHIN)
+        fleet.run(MAX_REVISION_DELAY)
         self.assertEqual({node.revision() for node in fleet.nodes.values()}, {5})
         self.publish_revision(fleet, 4, addresses[0])
         self.assertEqual(fleet.nodes[addresses[0]].revision(), 5)
 
-    def test_clocks_set_back_do_not_silence_the_fleet(self):
-        """No instance hears a notice or a failure for an hour.
+    def test_gossip_continues_after_clocks_are_set_back(self):
+        """No instance receives a notice or detects a failure for an hour.
 
-        All clocks were set back by an hour at once, so nothing that the instances had
-        planned was due, and no link that died meanwhile was found silent.
+        All clocks were set back by an hour at once, so no scheduled task was due and no
+        dead link was detected as silent.
         """
         fleet = make_fleet(12)
         for node in fleet.nodes.values():
-            set_back(node, 3600)
+            set_clock_back(node, 3600)
         dead = list(fleet.nodes)[5]
         fleet.stop(dead)
         fleet.run(30.0)
@@ -220,13 +223,13 @@
         notice = Notice(UPSTREAM, "engine-1", fleet.now + 30)
         self.publish(fleet, notice, address)
         done = partial(fleet.all_heard, notice)
-        self.assertIsNotNone(fleet.run(NOTICE_WITHIN, done))
+        self.assertIsNotNone(fleet.run(MAX_NOTICE_DELAY, done))
 
-    def test_notice_gets_round_a_data_centre_that_just_died(self):
-        """Work goes to a leaving engine while another data centre is reclaimed.
+    def test_notice_spreads_right_after_a_data_centre_dies(self):
+        """Work is sent to a leaving engine while another data centre is reclaimed.
 
-        A fifth of the links lead to dead instances that nobody knows to be dead yet;
-        what is pushed to them is lost.
+        A fifth of the links lead to instances that just died, which is not detected
+        yet; frames to them are lost.
         """
         fleet = make_fleet(40)
         for address, node in list(fleet.nodes.items()):
@@ -236,12 +239,12 @@
         notice = Notice(UPSTREAM, "engine-1", fleet.now + 30)
         self.publish(fleet, notice, next(iter(fleet.nodes)))
         done = partial(fleet.all_heard, notice)
-        self.assertIsNotNone(fleet.run(NOTICE_WITHIN, done))
+        self.assertIsNotNone(fleet.run(MAX_NOTICE_DELAY, done))
 
-    def test_expired_notice_is_not_taken_back(self):
-        """A replaced engine gets no work because of a notice that is long over.
+    def test_expired_notice_is_not_accepted(self):
+        """A replaced engine gets no work because of an expired notice.
 
-        An instance that was paused still holds the old notice and offers it.
+        An instance that was paused still has the old notice and publishes it.
         """
         fleet = make_fleet(6)
         address = next(iter(fleet.nodes))
@@ -252,86 +255,86 @@
 
 class TestHealth(unittest.TestCase):
     def test_dead_instance_is_suspected_and_its_restart_is_live(self):
-        """The peer that should take a handover over is dead, then started anew.
+        """A dead instance is shown as live, or its restarted process as suspect.
 
-        One of eight instances in a data centre dies without a word: all must come to
-        suspect it. It starts again with a higher incarnation and no state: all must
-        hold it as live, though stale suspicions are still under way.
+        One of eight instances in a data centre dies without notice; all must suspect
+        it. It restarts with a higher incarnation and no state; all must show it as live
+        although stale suspicions are still in transit.
         """
         fleet = make_fleet(16, centres="ab")
         dead = list(fleet.nodes)[4]
         fleet.stop(dead)
         fleet.run(60.0)
-        states = {record_of(fleet, node, dead).state for node in fleet.nodes}
+        states = {find_record(fleet, node, dead).state for node in fleet.nodes}
         self.assertEqual(states, {SUSPECT})
         fleet.start("entry-4", "a", 4, incarnation=2)
         self.assertIsNotNone(fleet.run(20.0, fleet.agree))
-        record = record_of(fleet, next(iter(fleet.nodes)), dead)
+        record = find_record(fleet, next(iter(fleet.nodes)), dead)
         self.assertEqual((record.state, record.incarnation), (LIVE, 2))
 
-    def test_restart_with_a_clock_set_back_outbids_its_old_record(self):
+    def test_restart_with_an_earlier_clock_replaces_its_old_record(self):
         fleet = make_fleet(8)
         fleet.start("entry-5", "a", 5, incarnation=0)
         self.assertIsNotNone(fleet.run(20.0, fleet.agree))
-        record = record_of(fleet, next(iter(fleet.nodes)), list(fleet.nodes)[-1])
+        record = find_record(fleet, next(iter(fleet.nodes)), list(fleet.nodes)[-1])
         self.assertEqual((record.state, record.incarnation), (LIVE, 2))
 
     def test_false_suspicion_is_refuted_by_its_subject(self):
-        """An instance that only paused is shown as failed for good.
+        """An instance that only paused is shown as suspect for good.
 
-        A peer spread a suspicion while the instance was paused. Once it runs on it
-        must win over the suspicion everywhere, without a restart.
+        A peer spread the suspicion during the pause. Once the instance runs again, its
+        new incarnation must replace the suspicion everywhere, without a restart.
         """
         fleet = make_fleet(12)
-        subject, liar = list(fleet.nodes)[:2]
-        record = record_of(fleet, liar, subject)._replace(state=SUSPECT)
-        node = fleet.nodes[liar]
-        fleet.take(liar, node._take([record], None, fleet.now, rumour=True))
+        subject, accuser = list(fleet.nodes)[:2]
+        record = find_record(fleet, accuser, subject)._replace(state=SUSPECT)
+        node = fleet.nodes[accuser]
+        fleet.take(accuser, node._accept([record], None, fleet.now, spread=True))
         fleet.run(10.0)
-        held = {record_of(fleet, node, subject)[-2:] for node in fleet.nodes}
+        held = {find_record(fleet, node, subject)[-2:] for node in fleet.nodes}
         self.assertEqual(held, {(LIVE, 2)})
 
-    def test_leaving_instance_stays_leaving_until_it_is_suspected(self):
+    def test_leaving_instance_is_shown_as_leaving(self):
         fleet = make_fleet(12)
         address = list(fleet.nodes)[3]
         fleet.nodes[address].leave()
-        fleet.run(NOTICE_WITHIN)
-        states = {record_of(fleet, node, address).state for node in fleet.nodes}
+        fleet.run(MAX_NOTICE_DELAY)
+        states = {find_record(fleet, node, address).state for node in fleet.nodes}
         self.assertEqual(states, {LEAVING})
 
-    def test_groups_that_joined_by_different_seeds_find_each_other(self):
-        """Half of the instances never hear any notice.
+    def test_groups_that_joined_through_different_seeds_merge(self):
+        """Half of the instances never receive a notice.
 
-        All seeds started at once and each gathered its own group, whose members hear
-        each other and so would look no further.
+        All seeds started at once and each formed a group of its own. The members of a
+        group reach each other, so they would contact no other seed.
         """
         self.assertTrue(make_fleet(8, seed=1).agree())
         self.assertTrue(make_fleet(40, seed=2).agree())
 
-    def test_forgotten_instance_is_not_brought_back(self):
+    def test_stale_record_of_a_forgotten_instance_is_rejected(self):
         """The status page shows an instance that was replaced days ago.
 
-        All had forgotten it when a peer that was cut off for long came back and
-        offered its record. A process of that name with a new incarnation is welcome.
+        All had forgotten it when a peer that was cut off for long sent its record
+        again. A process of the same name with a new incarnation is accepted.
         """
         cfg = MembershipSettings(suspect_age=20.0)
         fleet = make_fleet(8, cfg=cfg, centres="ab")
         dead, other = list(fleet.nodes)[3:5]
-        record = record_of(fleet, other, dead)
+        record = find_record(fleet, other, dead)
         fleet.stop(dead)
         fleet.run(90.0)
-        self.assertIsNone(record_of(fleet, other, dead))
+        self.assertIsNone(find_record(fleet, other, dead))
         for incarnation, held in ((1, False), (2, True)):
             stale = record._replace(incarnation=incarnation)
             items = Frame("items", [to_wire(stale)])
             fleet.nodes[other].receive(dead, items, fleet.now)
-            self.assertEqual(record_of(fleet, other, dead) is not None, held)
+            self.assertEqual(find_record(fleet, other, dead) is not None, held)
 
-    def test_many_that_start_at_once_are_not_stuck_at_the_seeds(self):
-        """After an outage of all, most instances know nobody for minutes.
+    def test_instances_that_start_at_once_get_referrals_from_seeds(self):
+        """After a full outage, most instances know no other for minutes.
 
-        All start at once and ask the three seeds, whose byte budget is used up at
-        once; the answers must lead to others that have bytes left.
+        All start at once and ask the three seeds, whose byte budget is soon used up.
+        The seeds' replies must refer them to instances that have budget left.
         """
         cfg = MembershipSettings(rate=100.0, burst=3000.0)
         fleet = Fleet(100, 1, cfg=cfg)
@@ -339,16 +342,16 @@
         known = min(len(node.members()) for node in fleet.nodes.values())
         self.assertGreater(known, 50)
 
-    def test_refused_stream_is_a_failed_link(self):
+    def test_refused_stream_drops_the_link(self):
         fleet = make_fleet(12, centres="ab")
         address, node = next(iter(fleet.nodes.items()))
         near = (peer for peer in node.peers() if fleet.nodes[peer].centre == "a")
         dead = next(near)
         fleet.stop(dead)
         fleet.run(5.0)
-        node.lose(dead, fleet.now)
+        node.handle_lost_stream(dead, fleet.now)
         self.assertNotIn(dead, node.peers())
-        self.assertEqual(record_of(fleet, address, dead).state, SUSPECT)
+        self.assertEqual(find_record(fleet, address, dead).state, SUSPECT)
 
     def test_links_reach_other_data_centres_and_regions(self):
         fleet = make_fleet(40)
@@ -360,13 +363,13 @@
             self.assertTrue(centres & {"a", "b", "c"} and centres & {"d", "e"})
 
 
-class TestBodies(unittest.TestCase):
+class TestFrameBodies(unittest.TestCase):
     def setUp(self):
         self.fleet = make_fleet(4)
         self.peer, self.address = list(self.fleet.nodes)[:2]
         self.node = self.fleet.nodes[self.address]
 
-    def test_any_body_is_answered_or_refused_by_bad_frame(self):
+    def test_malformed_bodies_raise_only_bad_frame(self):
         rng = random.Random(3)
         kinds = list(self.node._handlers)
         record = ["a", "127.0.0.1", 1, "a", "south", 0, 2**52]
@@ -381,7 +384,7 @@
                 continue
 
     def offer(self, packed, claimed=None):
-        """Announce a value to the instance; it must ask for it."""
+        """Announce a value to the instance, which must fetch it."""
         revision = Revision(3, len(packed), digest(claimed or packed))
         push = Frame("push", [to_wire(revision)])
         (fetch,) = self.node.receive(self.peer, push, self.fleet.now)
@@ -392,40 +395,42 @@
         value = Frame("value", [3, offset, chunk])
         return self.node.receive(self.peer, value, self.fleet.now)
 
-    def test_value_over_the_limit_is_refused_before_it_spreads(self):
+    def test_value_over_the_limit_is_not_published(self):
         with self.assertRaises(TooLarge):
-            self.node.publish_revision(1, b"x" * (MAX_VALUE + 1), self.fleet.now)
+            self.node.publish_revision(1, b"x" * (MAX_VALUE_BYTES + 1), self.fleet.now)
         self.assertEqual(self.node.revision(), 0)
 
-    def test_value_that_unpacks_over_the_limit_is_refused(self):
-        packed = zlib.compress(bytes(MAX_VALUE + 1))
+    def test_value_that_decompresses_over_the_limit_is_refused(self):
+        packed = zlib.compress(bytes(MAX_VALUE_BYTES + 1))
         self.offer(packed)
         with self.assertRaises(BadFrame):
             self.deliver(0, packed)
         self.assertIsNone(self.node.value())
 
-    def test_another_value_is_never_handed_out(self):
-        right, wrong = (zlib.compress(letter * 100) for letter in (b"a", b"b"))
-        self.assertEqual(len(right), len(wrong))
-        revision = self.offer(right)
+    def test_value_with_a_wrong_digest_is_refused(self):
+        value, other_value = (zlib.compress(letter * 100) for letter in (b"a", b"b"))
+        self.assertEqual(len(value), len(other_value))
+        revision = self.offer(value)
         with self.assertRaises(BadFrame):
-            self.deliver(0, wrong)
+            self.deliver(0, other_value)
         self.assertIsNone(self.node.value())
-        self.offer(right)
-        self.assertEqual(self.deliver(0, right), (Heard(revision, b"a" * 100),))
+        self.offer(value)
+        self.assertEqual(self.deliver(0, value), (Heard(revision, b"a" * 100),))
 
-    def test_chunk_that_arrives_twice_is_taken_once(self):
-        value = random.Random(2).randbytes(2 * CHUNK)
+    def test_duplicate_chunk_is_ignored(self):
+        value = random.Random(2).randbytes(2 * CHUNK_BYTES)
         packed = zlib.compress(value)
         revision = self.offer(packed)
-        first, rest = packed[:CHUNK], packed[CHUNK:]
+        first, rest = packed[:CHUNK_BYTES], packed[CHUNK_BYTES:]
         self.assertIsInstance(self.deliver(0, first)[0], Send)
         self.assertEqual(self.deliver(0, first), ())
-        for start in range(0, len(rest), CHUNK):
-            heard = self.deliver(CHUNK + start, rest[start : start + CHUNK])
-        self.assertEqual(heard, (Heard(revision, value),))
+        for start in range(0, len(rest), CHUNK_BYTES):
+            received = self.deliver(
+                CHUNK_BYTES + start, rest[start : start + CHUNK_BYTES]
+            )
+        self.assertEqual(received, (Heard(revision, value),))
 
-    def test_frames_of_records_fit_a_packet(self):
+    def test_frame_of_16_records_fits_a_packet(self):
         body = [[0, "entry-123", "10.120.130.140", 8443, "dc-a", "region-a", 0, 1]] * 16
         self.assertLess(len(msgpack.packb(body)), 1400)
         self.assertEqual(Record._fields[-1], "incarnation")
--- a/tests/weakened.py
+++ b/tests/weakened.py
@@ -219,7 +219,7 @@
     Weakness(
         "a value that was brought is told anew",
         (Edit("membership", "if self._keep(revision):", "if True:"),),
-        (SPREAD + "value_that_was_brought_starts_no_rumour_when_published",),
+        (SPREAD + "publishing_a_received_value_starts_no_rumour",),
     ),
     Weakness(
         "engine without fencing",
