--- a/src/chervilwing/documents.py
+++ b/src/chervilwing/documents.py
@@ -7,7 +7,7 @@
 
 from returns.result import Result, safe
 
-from .checks import check
+from .checks import check_consistency
 from .exceptions import BadConfiguration
 from .models import Configuration, Inventory, Rules
 from .shapes import (
@@ -18,22 +18,22 @@
     read_entry,
     read_name,
     to_plain,
-    whole,
+    whole_number,
 )
 
 CONFIG_KEY = "chervilwing/config"
 HISTORY_PREFIX = "chervilwing/config/history/"
-# The service takes values up to a megabyte (brief, "Where it will run").
+# The key-value service accepts values up to a megabyte.
 MAX_BYTES = 1_000_000
-TEXT_LIMIT = 256
+MAX_TEXT_LENGTH = 256
 PARTS = {"inventory": INVENTORY, "rules": RULES}
 
-read_revision = whole(1, 99_999_999)
+read_revision = whole_number(1, 99_999_999)
 
 
 def _read_text(raw, path):
-    if not isinstance(raw, str) or len(raw) > TEXT_LIMIT or not raw.isprintable():
-        fail(path, f"not a printable text of at most {TEXT_LIMIT} characters")
+    if not isinstance(raw, str) or len(raw) > MAX_TEXT_LENGTH or not raw.isprintable():
+        fail(path, f"not a printable text of at most {MAX_TEXT_LENGTH} characters")
     return raw
 
 
@@ -53,19 +53,19 @@
 
 @safe(exceptions=(BadConfiguration,))
 def parse_document(text) -> Result[Configuration, BadConfiguration]:
-    """Return the checked configuration that a stored value holds."""
+    """Return the validated configuration of a stored value, or the failure."""
     cfg = read_entry(CONFIGURATION, _load_json(text), "")
     return check_configuration(cfg)
 
 
 def check_configuration(cfg):
-    """Return the configuration, kinds filled in; raise BadConfiguration if wrong."""
-    inventory, rules = check(cfg.inventory, cfg.rules)
+    """Return the configuration with the upstreams' kinds; raise BadConfiguration."""
+    inventory, rules = check_consistency(cfg.inventory, cfg.rules)
     return cfg._replace(inventory=inventory, rules=rules)
 
 
 def serialise(cfg):
-    """Return the stored form; raise BadConfiguration over the service's limit."""
+    """Return the configuration as JSON; raise BadConfiguration over ``MAX_BYTES``."""
     text = json.dumps(to_plain(cfg), separators=(",", ":"))
     if len(text.encode()) > MAX_BYTES:
         fail("configuration", f"larger than {MAX_BYTES} bytes")
@@ -74,12 +74,12 @@
 
 def _load_json(text):
     try:
-        return json.loads(text, object_pairs_hook=_refuse_double_keys)
+        return json.loads(text, object_pairs_hook=_reject_duplicate_keys)
     except (ValueError, TypeError, RecursionError) as exc:
         fail("configuration", f"not JSON: {exc}")
 
 
-def _refuse_double_keys(pairs):
+def _reject_duplicate_keys(pairs):
     table = dict(pairs)
     if len(table) != len(pairs):
         fail("configuration", "a key occurs twice in one table")
@@ -87,7 +87,7 @@
 
 
 class PartFile(NamedTuple):
-    """An operators' file: the revision it was made from, if given, and its part."""
+    """Hold the part of an operators' file and the revision it was made from, if any."""
 
     revision: int | None
     part: Inventory | Rules
@@ -95,10 +95,10 @@
 
 @safe(exceptions=(BadConfiguration,))
 def parse_file(name, text) -> Result[PartFile, BadConfiguration]:
-    """Return the ``inventory`` or ``rules`` of a TOML file; references aren't checked.
+    """Return the ``inventory`` or ``rules`` of a TOML file, or the failure.
 
-    A top-level ``revision`` says which revision the file was made from, so that edits
-    of others since then aren't undone by it.
+    References to other entries aren't checked. A top-level ``revision`` names the
+    revision that the file was made from, so that applying it doesn't undo later edits.
     """
     table = _load_toml(text)
     revision = table.pop("revision", None)
@@ -115,11 +115,11 @@
 
 
 def render_file(file):
-    """Return an Inventory or Rules in the operators' file format."""
-    blocks = [f"revision = {file.revision}\n"] if file.revision else []
+    """Return a PartFile as the TOML text of an operators' file."""
+    tables = [f"revision = {file.revision}\n"] if file.revision else []
     for section, rows in to_plain(file.part).items():
-        blocks += [_render_table(section, row) for row in rows]
-    return "\n".join(blocks)
+        tables += [_render_table(section, row) for row in rows]
+    return "\n".join(tables)
 
 
 def _render_table(section, row):
@@ -128,7 +128,7 @@
 
 
 def _render_value(value):
-    """Render what our shapes hold; their texts need no escape that JSON lacks."""
+    """Return a value as TOML; JSON escapes suffice for the strings of the shapes."""
     if isinstance(value, dict):
         pairs = (f"{key} = {_render_value(item)}" for key, item in value.items())
         return "{ " + ", ".join(pairs) + " }"
@@ -138,9 +138,9 @@
 
 
 def hash_key(api_key):
-    """Return the SHA-256 digest under which the rules keep an API key.
+    """Return the SHA-256 hex digest that the rules store for an API key.
 
-    A plain digest is enough only for random keys of 128 bits or more: there is no salt,
-    because the entry looks a customer up by the digest.
+    There is no salt, because the entry looks up a customer by the digest. That is safe
+    only for random keys of 128 bits or more.
     """
     return sha256(api_key.encode()).hexdigest()
--- a/src/chervilwing/follower.py
+++ b/src/chervilwing/follower.py
@@ -1,4 +1,4 @@
-"""Keep the newest configuration in force: store, membership and dispatcher."""
+"""Keep the newest configuration of the store and the peers in force."""
 
 import random
 import time
@@ -14,26 +14,26 @@
 
 
 def read_stamp(value):
-    """Return the revision and operation of a stored document, or raise.
+    """Return the Stamp of a stored document, or raise BadConfiguration.
 
-    Guard: the whole document is checked before its revision counts. One that this
-    version can't read must not be announced to peers as one that is in force here.
+    The whole document is validated first: an instance must not announce a revision to
+    its peers that it can't put in force itself.
     """
     configuration = unwrap(parse_document(value))
     return Stamp(configuration.revision, configuration.operation)
 
 
 def unwrap(result):
-    """Return what a parser found, or raise its failure."""
+    """Return the value of a parser's result, or raise its failure."""
     if is_successful(result):
         return result.unwrap()
     raise result.failure()
 
 
 class Follower(BaseComponent):
-    """Drive the revisions of one instance.
+    """Run the ``Revisions`` of an instance and configure its dispatcher.
 
-    ``publish`` takes the number and the bytes of each value that came into force.
+    ``publish`` is called with the number and the bytes of each value put in force.
     """
 
     channel = "follower"
@@ -47,32 +47,34 @@
         self.revisions = Revisions(settings, cfg.name, read_stamp, random.Random())
 
     def begin(self, members):
-        """Ask the store for the configuration, and wait for the peers."""
+        """Read the configuration from the store and start waiting for the peers."""
         self.revisions.enlist(members)
         self._apply(self.revisions.start(time.monotonic()))
 
     def enlist(self, members):
-        """Take the live entry instances, name to data centre."""
+        """Set the live entry instances, name to data centre."""
         self.revisions.enlist(members)
 
     def hear(self, value):
-        """Take the bytes of a value that the membership brought."""
+        """Handle the bytes of a value that the membership received."""
         try:
             text = value.decode()
         except UnicodeDecodeError as exc:
-            self._ignore(Ignored(PEERS, BadConfiguration(f"not UTF-8: {exc.reason}")))
+            self._on_ignored(
+                Ignored(PEERS, BadConfiguration(f"not UTF-8: {exc.reason}"))
+            )
             return
         self._apply(self.revisions.hear(text, time.monotonic()))
 
     def explain_not_ready(self):
-        """Return why there is no configuration in force, or None."""
+        """Return a NoConfiguration if no configuration is in force, or None."""
         return self.revisions.explain_not_ready()
 
     @handler("tick", channel="*")
     def _on_tick(self):
         self._apply(self.revisions.tick(time.monotonic()))
 
-    def _received(self, token, reply):
+    def _on_reply(self, token, reply):
         self._apply(self.revisions.receive(token, reply, time.monotonic()))
 
     def _apply(self, actions):
@@ -80,27 +82,28 @@
             APPLIERS[type(action)](self, action)
 
     def _call(self, action):
-        self._store.carry(action, self._received)
+        self._store.carry(action, self._on_reply)
 
-    def _adopt(self, action):
+    def _on_adopted(self, action):
         configuration = unwrap(parse_document(action.value))
         self._dispatch.configure(configuration)
         log_event("configuration in force", revision=configuration.revision)
-        # One that the membership brought has its number already and starts no rumour.
+        # A value from the membership is already known there and starts no rumour.
         try:
             self._publish(action.stamp.revision, action.value.encode())
         except TooLarge as exc:
-            # Written past our tools, which refuse it: it holds here, the peers read the
-            # store themselves. Raised, it would end the task that talks to the store.
+            # The value was written without the operators' tools, which refuse this
+            # size. It stays in force here, and the peers read it from the store.
+            # Raising would end the task that communicates with the store.
             log_event("configuration not spread", detail=exc.detail)
 
-    def _ignore(self, action):
+    def _on_ignored(self, action):
         detail = action.failure.detail
         log_event("configuration ignored", source=action.source, detail=detail)
 
 
 APPLIERS = {
     StoreCall: Follower._call,
-    Adopted: Follower._adopt,
-    Ignored: Follower._ignore,
+    Adopted: Follower._on_adopted,
+    Ignored: Follower._on_ignored,
 }
--- a/src/chervilwing/frames.py
+++ b/src/chervilwing/frames.py
@@ -1,4 +1,8 @@
-"""Frames between entry instances: a length, then a msgpack map with v, t and b."""
+"""Encode and decode the frames between entry instances.
+
+A frame is a length of 4 bytes, big-endian, then a msgpack map with the keys v (protocol
+version), t (type) and b (body).
+"""
 
 from typing import Any, NamedTuple
 
@@ -9,18 +13,18 @@
 VERSION = 1
 MAX_FRAME = 65_536
 LENGTH_BYTES = 4
-KEYS = {"v", "t", "b"}
+FRAME_KEYS = {"v", "t", "b"}
 
 
 class Frame(NamedTuple):
-    """One message: its type and a body that msgpack can carry."""
+    """Hold the type of a message and its body, which msgpack can encode."""
 
     type: str
     body: Any
 
 
 def encode(frame):
-    """Return the bytes of a frame; raise BadFrame when it is over ``MAX_FRAME``."""
+    """Return the bytes of a frame; raise BadFrame over ``MAX_FRAME`` bytes."""
     payload = msgpack.packb({"v": VERSION, "t": frame.type, "b": frame.body})
     if len(payload) > MAX_FRAME:
         raise BadFrame(f"{len(payload)} bytes are over the limit of {MAX_FRAME}")
@@ -28,16 +32,15 @@
 
 
 def decode(payload):
-    """Return the frame in the bytes that follow a length; raise only BadFrame."""
+    """Return the frame in a payload without its length; raise only BadFrame."""
     try:
         message = msgpack.unpackb(payload)
-    # Bytes from the network make msgpack raise its own types, ValueError, TypeError
-    # (an unhashable key) or RecursionError (deep nesting). Any of them escaping would
-    # end the task that serves every peer, so all become the one failure that ends
-    # this connection only.
+    # On malformed bytes msgpack raises its own exceptions, ValueError, TypeError (an
+    # unhashable key) or RecursionError (deep nesting). Any of them would end the task
+    # that serves all peers; BadFrame ends only this connection.
     except Exception as exc:
         raise BadFrame(f"not msgpack: {type(exc).__name__}") from exc
-    if not isinstance(message, dict) or set(message) != KEYS:
+    if not isinstance(message, dict) or set(message) != FRAME_KEYS:
         raise BadFrame("a frame is a map of v, t and b")
     if type(message["v"]) is not int or message["v"] != VERSION:
         raise BadFrame(f"protocol version {message['v']!r} is unknown")
@@ -47,16 +50,17 @@
 
 
 class Decoder:
-    """Hold the bytes of one stream that don't make a whole frame yet."""
+    """Buffer the bytes of one stream until they form complete frames."""
 
     def __init__(self):
         self._buffer = bytearray()
 
     def feed(self, data):
-        """Return the frames that ``data`` completes; raise BadFrame, then stop using.
+        """Return the frames that ``data`` completes.
 
-        The length is checked before the body arrives: a peer that announces
-        gigabytes would otherwise make this process hold them.
+        Raise BadFrame on a malformed frame; the decoder can't be used after that. The
+        length is checked before the body arrives, since a peer that announces gigabytes
+        would otherwise make this process buffer them.
         """
         self._buffer += data
         frames = []
--- a/src/chervilwing/gossip.py
+++ b/src/chervilwing/gossip.py
@@ -346,7 +346,7 @@
         self._refilled_at = now
 
     def is_above(self, reserve):
-        """Return whether more than a part of the burst is left; ``reserve`` is 0 to 1."""
+        """Return whether more than a part, 0 to 1, of the burst is left."""
         return self._available > reserve * self._burst
 
     def spend(self, size):
--- a/src/chervilwing/messages.py
+++ b/src/chervilwing/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the core and the task that talks to the key-value service."""
+"""Requests to the key-value service, its replies, and messages to other instances."""
 
 from typing import NamedTuple
 
@@ -6,13 +6,13 @@
 
 
 class Read(NamedTuple):
-    """Ask for one key."""
+    """Read one key."""
 
     key: str
 
 
 class Write(NamedTuple):
-    """Compare-and-swap one key; ``expect`` 0 means that it must not exist."""
+    """Compare-and-swap one key; with ``expect`` 0 the key must not exist."""
 
     key: str
     value: str
@@ -21,7 +21,7 @@
 
 
 class Watch(NamedTuple):
-    """Wait until the key is newer than ``after``, for ``wait`` seconds at most."""
+    """Wait until the key's version is above ``after``, at most ``wait`` seconds."""
 
     key: str
     after: int
@@ -29,50 +29,50 @@
 
 
 class Grant(NamedTuple):
-    """Ask for a lease of ``ttl`` seconds."""
+    """Request a lease of ``ttl`` seconds."""
 
     ttl: float
 
 
 class Renew(NamedTuple):
-    """Prolong a lease."""
+    """Renew a lease."""
 
     lease: str
 
 
 class Found(NamedTuple):
-    """The key's value and version."""
+    """Report a key's value and version."""
 
     value: str
     version: int
 
 
 class Missing(NamedTuple):
-    """The key or the lease doesn't exist, or the watch saw nothing new."""
+    """Report that the key or lease doesn't exist, or that a watch timed out."""
 
 
 class Written(NamedTuple):
-    """The write took effect at this version."""
+    """Confirm a write; ``version`` is the key's new version."""
 
     version: int
 
 
 class Rejected(NamedTuple):
-    """Another writer came first; this is what stands."""
+    """Report a version conflict, with the key's current value and version."""
 
     value: str
     version: int
 
 
 class Granted(NamedTuple):
-    """The lease holds for ``ttl`` seconds from when the request was sent."""
+    """Grant a lease that is valid for ``ttl`` seconds from sending the request."""
 
     lease: str
     ttl: float
 
 
 class Unanswered(NamedTuple):
-    """No answer came: a write may or may not have taken effect."""
+    """Report that no reply came; a write may or may not have taken effect."""
 
 
 StoreRequest = Read | Write | Watch | Grant | Renew
@@ -80,14 +80,14 @@
 
 
 class StoreCall(NamedTuple):
-    """Send the request; hand the reply back with the token, ``Unanswered`` if none."""
+    """Send a request; the reply, or ``Unanswered``, is returned with the token."""
 
     token: str
     request: StoreRequest
 
 
 class Forward(NamedTuple):
-    """Send a message to another entry instance; nothing tells whether it arrives."""
+    """Send a message to another entry instance, without confirmation of delivery."""
 
     instance: str
     message: NamedTuple
--- a/src/chervilwing/notices.py
+++ b/src/chervilwing/notices.py
@@ -1,4 +1,4 @@
-"""Hear of leaving upstreams: the cloud's notices and the lagging instance list."""
+"""Watch the cloud's notices and its instance list for leaving upstreams."""
 
 import time
 
@@ -10,26 +10,27 @@
 from .models import MODEL, Address, Upstream
 from .stores import collect_json
 
-# A watch that has gone silent is known by its limit, wait and one connect timeout; then
-# a new one must still hear the notice within the 3 s in which work has to stop. Load:
-# two watchers a data centre, a call a second each, whatever the size of the fleet.
+# Seconds a watch on the notices waits. A watch that gets no reply is given up after
+# this wait and a connect timeout; its successor must still receive the notice within
+# the 3 s in which new work has to stop. This costs a call per second and watcher, with
+# two watchers in each data centre regardless of the size of the fleet.
 NOTICE_WAIT = 1.0
-RETRY = 1.0
+RETRY_DELAY = 1.0
 LIST_INTERVAL = 2.0
 LEAVING = "leaving"
 
 
 def read_listed(row):
-    """Return the upstream that a row of the instance list adds to a pool, or None."""
+    """Return the Upstream that a row of the instance list adds to a pool, or None."""
     try:
         return read_upstream(row) if row.get("pool") else None
     except (KeyError, TypeError, ValueError):
-        # Guard: one row that can't be read must not keep all the others out.
+        # A malformed row must not prevent reading the others.
         return None
 
 
 def read_upstream(row):
-    """Return the upstream that a row names; the directory sets its pool's kind."""
+    """Return the Upstream of a row; the directory sets the kind of its pool later."""
     return Upstream(
         str(row["name"]),
         MODEL,
@@ -42,74 +43,74 @@
 
 
 class Notices(BaseComponent):
-    """Take leaving upstreams out of service and tell the other instances.
+    """Take leaving upstreams out of service and gossip their notices.
 
-    A leaving upstream receives no new work after a few seconds (brief) although the
-    list lags and the notice may reach one instance only: whoever hears it passes it on.
+    A leaving upstream must get no new work after 3 s, although the instance list lags
+    and the notice may reach a single instance. So each notice is published to all.
     """
 
     channel = "notices"
 
-    def __init__(self, cfg, client, dispatcher, publish, elected, drain):
+    def __init__(self, cfg, client, dispatcher, publish, is_watcher, drain):
         super().__init__()
         self._cfg = cfg
         self._client = client
         self._dispatch = dispatcher
         self._publish = publish
-        self._elected = elected
+        self._is_watcher = is_watcher
         self._drain = drain
-        self._seen = 0
-        self._waiting = False
+        self._last_seq = 0
+        self._watching = False
         self._notice_due = 0.0
         self._list_due = 0.0
 
     def hear(self, notice):
-        """Act on a notice from a peer."""
-        self._obey(notice.name, notice.deadline)
+        """Apply a notice that a peer published."""
+        self._apply_notice(notice.name, notice.deadline)
 
     @handler("tick", channel="*")
     def _on_tick(self):
         now = time.monotonic()
-        due = not self._waiting and now >= self._notice_due
-        # Load: a watch of each instance on the cloud. Harm: calls that grow with the
-        # fleet. A data centre's watchers hear for all; the list is the others' second
-        # source, should the watchers be frozen.
-        if self._cfg.cloud and due and self._elected():
+        due = not self._watching and now >= self._notice_due
+        # Only a data centre's watchers watch the notices, so that the number of calls
+        # doesn't grow with the fleet. All instances read the list as well, in case the
+        # watchers are frozen.
+        if self._cfg.cloud and due and self._is_watcher():
             self._watch()
         if self._cfg.instance_list and now >= self._list_due:
             self._list_due = now + LIST_INTERVAL
             self._read_list()
 
     def _watch(self):
-        self._waiting = True
-        path = f"/notices?after={self._seen}&wait={NOTICE_WAIT:g}"
-        silence = NOTICE_WAIT + self._cfg.connect_timeout
+        self._watching = True
+        path = f"/notices?after={self._last_seq}&wait={NOTICE_WAIT:g}"
+        silence_timeout = NOTICE_WAIT + self._cfg.connect_timeout
         call = Call(
             self._cfg.cloud,
             "GET",
             path,
             {},
             connect_timeout=self._cfg.connect_timeout,
-            silence_timeout=silence,
+            silence_timeout=silence_timeout,
         )
-        self._client.submit(call, collect_json(self._noticed, self._watch))
+        self._client.submit(call, collect_json(self._on_notices, self._watch))
 
-    def _noticed(self, status, value):
-        self._waiting = False
+    def _on_notices(self, status, value):
+        self._watching = False
         if status != 200 or not isinstance(value, dict):
-            self._notice_due = time.monotonic() + RETRY
+            self._notice_due = time.monotonic() + RETRY_DELAY
             return
         for row in value.get("notices", ()):
-            self._seen = max(self._seen, int(row["seq"]))
+            self._last_seq = max(self._last_seq, int(row["seq"]))
             self.leave(str(row["instance"]), float(row["deadline"]))
 
     def leave(self, name, deadline):
-        """Tell all instances that an upstream leaves."""
+        """Publish and apply that an upstream leaves at ``deadline`` (Unix seconds)."""
         log_event("notice", instance=name, deadline=deadline)
         self._publish(Notice(UPSTREAM, name, deadline))
-        self._obey(name, deadline)
+        self._apply_notice(name, deadline)
 
-    def _obey(self, name, deadline):
+    def _apply_notice(self, name, deadline):
         if name == self._cfg.name:
             self._drain(deadline)
             return
@@ -118,15 +119,15 @@
     def _read_list(self):
         wait = self._cfg.connect_timeout
         call = Call(self._cfg.instance_list, "GET", "/list", {}, b"", wait, wait)
-        self._client.submit(call, collect_json(self._listed))
+        self._client.submit(call, collect_json(self._on_list))
 
-    def _listed(self, status, value):
+    def _on_list(self, status, value):
         if status != 200 or not isinstance(value, dict):
             return
         listed = {}
         for row in value.get("instances", ()):
             if row.get("state") == LEAVING:
-                self._obey(str(row.get("name")), 0.0)
+                self._apply_notice(str(row.get("name")), 0.0)
             upstream = read_listed(row)
             if upstream is not None:
                 listed[upstream.name] = upstream
--- a/src/chervilwing/peers.py
+++ b/src/chervilwing/peers.py
@@ -1,4 +1,4 @@
-"""Streams between entry instances: one connection a pair, frames both ways."""
+"""Streams between entry instances: one connection per pair, used in both directions."""
 
 import time
 
@@ -16,23 +16,23 @@
 HELLO = "hello"
 MESSAGE = "message"
 PART = "part"
-# A message over the limit of a frame goes in parts. The largest carries a recorded
-# outcome and is under a megabyte (brief: the key-value service's limit); more is
-# refused, so that no peer can make this process hold what it likes.
-PART_SIZE = MAX_FRAME - 1024
-WHOLE_LIMIT = 2 * 1024 * 1024
-# Seconds after which a stream that nobody uses is closed. Load: an instance talks now
-# and then to each of hundreds of others. Harm: sockets at both ends. Ten times the
-# interval of the gossip keeps the links of the partial view open.
-IDLE = 60.0
-# Bytes that may wait for a peer that doesn't read; then it counts as lost.
-PENDING_LIMIT = 4 * 1024 * 1024
+# A message over the limit of a frame is sent in parts. The largest message carries a
+# recorded outcome and stays under a megabyte, the key-value service's limit. A larger
+# one is refused, so that a peer can't fill the memory of this process.
+PART_BYTES = MAX_FRAME - 1024
+MAX_MESSAGE_BYTES = 2 * 1024 * 1024
+# Seconds after which an unused stream is closed. An instance sends occasional messages
+# to each of hundreds of others, which would keep sockets open at both ends. Ten times
+# the gossip's interval keeps the links of the partial view open.
+IDLE_TIMEOUT = 60.0
+# Unsent bytes after which the connection to a peer that doesn't read is closed.
+MAX_PENDING_BYTES = 4 * 1024 * 1024
 
 
 class _Stream:
-    """What is known of one peer's stream."""
+    """Hold the state of the stream to or from a peer."""
 
-    __slots__ = ("conn", "decoder", "parts", "address", "name", "used", "dialled")
+    __slots__ = ("conn", "decoder", "parts", "address", "name", "used_at", "dialled")
 
     def __init__(self, conn, address, now, dialled):
         self.conn = conn
@@ -40,80 +40,81 @@
         self.parts = bytearray()
         self.address = address
         self.name = ""
-        self.used = now
+        self.used_at = now
         self.dialled = dialled
 
 
 class Peers(BaseComponent):
-    """Own the streams to other entry instances and drive the membership.
+    """Manage the streams to other entry instances and run the membership.
 
-    ``subscribe`` names the messages of a core and the function that hears them;
-    ``forward`` sends one to an instance by name.
+    ``on_item`` is called with each item that the membership reports as new. Use
+    ``subscribe`` to receive messages of some types and ``forward`` to send one to an
+    instance by name.
     """
 
     channel = "peers"
 
-    def __init__(self, poller, heard):
+    def __init__(self, poller, on_item):
         super().__init__()
         self._membership = None
-        self._heard = heard
+        self._on_item = on_item
         self._by_conn = {}
         self._by_address = {}
         self._addresses = {}
         self._kinds = {}
-        handlers = StreamHandlers(self._opened, self._received, self._closed)
+        handlers = StreamHandlers(self._on_opened, self._on_received, self._on_closed)
         self._streams = Streams(poller, handlers, "peer-streams").register(self)
 
     def listen(self, address):
-        """Accept peers and return the address that was bound."""
+        """Start to accept peers; return the bound address."""
         return self._streams.listen(address)
 
     def adopt(self, membership):
-        """Take the membership to drive, once the bound address is known."""
+        """Set the membership to run, once the bound address is known."""
         self._membership = membership
 
     def stop_listening(self):
-        """Accept no more peers."""
+        """Stop accepting peers."""
         self._streams.stop_listening()
 
-    def subscribe(self, kinds, hear):
-        """Hand messages of these types, with their sender's name, to ``hear``."""
-        self._kinds |= {kind.__name__: (kind, hear) for kind in kinds}
+    def subscribe(self, kinds, on_message):
+        """Call ``on_message`` with the sender's name for messages of these types."""
+        self._kinds |= {kind.__name__: (kind, on_message) for kind in kinds}
 
     def learn(self, name, address):
-        """Note where an instance listens for its peers."""
+        """Record the address at which an instance accepts peers."""
         self._addresses[name] = address
 
     def forward(self, name, message):
-        """Send a message; nothing tells whether it arrives."""
+        """Send a message to an instance, without confirmation of delivery."""
         address = self._addresses.get(name)
         if address is None:
             return
         body = msgpack.packb([type(message).__name__, list(message)])
-        if len(body) > WHOLE_LIMIT:
+        if len(body) > MAX_MESSAGE_BYTES:
             log_event("peer message not sent", peer=name, bytes=len(body))
             return
-        for frame in split(body):
+        for frame in split_message(body):
             self._send(address, encode(frame))
 
     def apply(self, actions):
-        """Carry out what the membership asks for."""
+        """Perform the actions that the membership returned."""
         for action in actions:
             if isinstance(action, Send):
                 self._send(action.peer, action.data)
             elif isinstance(action, Heard):
-                self._note(action.item)
-                self._heard(action)
+                self._learn_address(action.item)
+                self._on_item(action)
 
     @handler("tick", channel="*")
     def _on_tick(self):
         self.apply(self._membership.tick(time.time()))
         now = time.monotonic()
         for stream in list(self._by_conn.values()):
-            if now - stream.used > IDLE:
+            if now - stream.used_at > IDLE_TIMEOUT:
                 self._streams.drop(stream.conn)
 
-    def _note(self, item):
+    def _learn_address(self, item):
         if isinstance(item, Record):
             self.learn(item.name, item.address)
 
@@ -121,9 +122,10 @@
         stream = self._by_address.get(address)
         if stream is None:
             stream = self._dial(address)
-        stream.used = time.monotonic()
-        # Guard: a frozen peer stops reading and its frames pile up here without end.
-        if stream.conn.pending_size > PENDING_LIMIT:
+        stream.used_at = time.monotonic()
+        # A frozen peer stops reading; without this limit its frames would fill the
+        # memory.
+        if stream.conn.pending_size > MAX_PENDING_BYTES:
             self._streams.drop(stream.conn)
             return
         self._streams.send(stream.conn, data)
@@ -136,35 +138,35 @@
         self._streams.send(conn, self._membership.encode_hello())
         return stream
 
-    def _opened(self, conn):
+    def _on_opened(self, conn):
         if conn in self._by_conn:
             return
         self._by_conn[conn] = _Stream(conn, None, time.monotonic(), dialled=False)
         self._streams.send(conn, self._membership.encode_hello())
 
-    def _received(self, conn, data):
+    def _on_received(self, conn, data):
         stream = self._by_conn[conn]
-        stream.used = time.monotonic()
+        stream.used_at = time.monotonic()
         try:
             for frame in stream.decoder.feed(data):
-                self._take(stream, frame)
+                self._handle_frame(stream, frame)
         except BadFrame as exc:
-            # Only this connection ends; the peer may dial again.
+            # Close only this connection; the peer may connect again.
             log_event("bad frame", peer=stream.name, detail=exc.detail)
             self._streams.drop(conn)
 
-    def _take(self, stream, frame):
+    def _handle_frame(self, stream, frame):
         if frame.type == HELLO:
-            self._greeted(stream, frame)
+            self._on_hello(stream, frame)
         if stream.address is None:
             raise BadFrame("A stream starts with a hello.")
-        take = TAKERS.get(frame.type)
-        if take is not None:
-            take(self, stream, frame.body)
+        handle = FRAME_HANDLERS.get(frame.type)
+        if handle is not None:
+            handle(self, stream, frame.body)
             return
         self.apply(self._membership.receive(stream.address, frame, time.time()))
 
-    def _greeted(self, stream, frame):
+    def _on_hello(self, stream, frame):
         record = from_wire(frame.body)
         if not isinstance(record, Record):
             raise BadFrame("A hello carries a record.")
@@ -174,28 +176,32 @@
             stream.address = record.address
             self._by_address.setdefault(record.address, stream)
 
-    def _gather(self, stream, body):
+    def _on_part(self, stream, body):
         if not isinstance(body, bytes):
             raise BadFrame("A part carries bytes.")
         stream.parts += body
-        if len(stream.parts) > WHOLE_LIMIT:
-            raise BadFrame(f"A message in parts is over {WHOLE_LIMIT} bytes.")
+        if len(stream.parts) > MAX_MESSAGE_BYTES:
+            raise BadFrame(f"A message in parts is over {MAX_MESSAGE_BYTES} bytes.")
 
-    def _deliver(self, stream, body):
+    def _on_message(self, stream, body):
         if not isinstance(body, bytes):
             raise BadFrame("A message carries bytes.")
-        whole = bytes(stream.parts) + body
+        message = bytes(stream.parts) + body
         stream.parts.clear()
-        body = unpack(whole)
-        if not isinstance(body, list) or len(body) != 2 or not self._knows(body[0]):
+        body = decode_message(message)
+        if (
+            not isinstance(body, list)
+            or len(body) != 2
+            or not self._is_subscribed(body[0])
+        ):
             raise BadFrame("An unknown message.")
-        kind, hear = self._kinds[body[0]]
-        hear(stream.name, rebuild(kind, body[1]))
+        kind, on_message = self._kinds[body[0]]
+        on_message(stream.name, rebuild(kind, body[1]))
 
-    def _knows(self, name):
+    def _is_subscribed(self, name):
         return isinstance(name, str) and name in self._kinds
 
-    def _closed(self, conn, exc):
+    def _on_closed(self, conn, exc):
         stream = self._by_conn.pop(conn, None)
         if stream is None:
             return
@@ -207,19 +213,19 @@
             )
 
 
-TAKERS = {MESSAGE: Peers._deliver, PART: Peers._gather}
+FRAME_HANDLERS = {MESSAGE: Peers._on_message, PART: Peers._on_part}
 
 
-def split(body):
-    """Return the frames that carry a message: parts, then its end."""
-    cuts = range(0, len(body), PART_SIZE)
-    chunks = [body[cut : cut + PART_SIZE] for cut in cuts]
+def split_message(body):
+    """Return the frames that carry an encoded message; the last has type MESSAGE."""
+    cuts = range(0, len(body), PART_BYTES)
+    chunks = [body[cut : cut + PART_BYTES] for cut in cuts]
     return [*(Frame(PART, chunk) for chunk in chunks[:-1]), Frame(MESSAGE, chunks[-1])]
 
 
-def unpack(body):
-    """Return what msgpack reads in a message, or raise BadFrame."""
+def decode_message(body):
+    """Return the msgpack value of a message, or raise BadFrame."""
     try:
         return msgpack.unpackb(body)
-    except Exception as exc:  # As in frames.decode: it raises what its parts raise.
+    except Exception as exc:  # msgpack raises many types, as in frames.decode.
         raise BadFrame(f"not msgpack: {type(exc).__name__}") from exc
--- a/src/chervilwing/rates.py
+++ b/src/chervilwing/rates.py
@@ -1,47 +1,47 @@
-"""Rates of work, in which older work counts for less."""
+"""Exponentially decaying rates of work."""
 
 from math import exp
 
-# Seconds after which work counts for a third: some service times of long work, so
-# that one large request doesn't pass for a trend.
-MEMORY = 10.0
+# Seconds after which work counts for 1/e, about a third. This is several times the
+# service time of long work, so that a single large request doesn't look like a trend.
+DECAY_TIME = 10.0
 
 
 class Rate:
-    """The cost a second of a stream of work."""
+    """Estimate the cost per second of a stream of work."""
 
     def __init__(self):
         self._sum = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def record(self, cost, now):
-        """Count one piece of work."""
-        self._sum = self._fade(now) + cost
-        self._at = now
+        """Add the cost of one request; ``now`` in seconds."""
+        self._sum = self._decayed_sum(now) + cost
+        self._updated_at = now
 
     def measure(self, now):
-        """Return the cost a second."""
-        return self._fade(now) / MEMORY
+        """Return the current cost per second."""
+        return self._decayed_sum(now) / DECAY_TIME
 
-    def _fade(self, now):
-        return self._sum * exp(-max(0.0, now - self._at) / MEMORY)
+    def _decayed_sum(self, now):
+        return self._sum * exp(-max(0.0, now - self._updated_at) / DECAY_TIME)
 
 
 class Excess:
-    """How far the offered work is over the admitted."""
+    """Estimate the ratio of offered to admitted work."""
 
     def __init__(self):
         self._offered = Rate()
         self._admitted = Rate()
 
     def record(self, cost, admitted, now):
-        """Count one piece of offered work."""
+        """Add the cost of one offered request, which was admitted or not."""
         self._offered.record(cost, now)
         if admitted:
             self._admitted.record(cost, now)
 
     def measure(self, now):
-        """Return offered over admitted work, from 1 up to 20."""
+        """Return offered divided by admitted work, limited to 1 to 20."""
         admitted = self._admitted.measure(now)
         if admitted <= 0:
             return 1.0
--- a/src/chervilwing/revisions.py
+++ b/src/chervilwing/revisions.py
@@ -1,4 +1,4 @@
-"""Revisions of the configuration: adopt newer ones, never go back."""
+"""Revisions of the configuration: put newer ones in force, never an older one."""
 
 import itertools
 import math
@@ -16,22 +16,24 @@
 
 
 class RevisionSettings(NamedTuple):
-    """Settings of the revisions; times in seconds.
+    """Configure the revisions; times in seconds.
 
-    ``audit_every`` is the mean time between two reads by the fleet as a whole;
-    ``peer_wait`` is how long a start without the store collects the peers' revisions.
+    ``watchers`` is their number in each data centre, ``watch_wait`` the long-poll time
+    of a watch. ``audit_interval`` is the mean time between two reads by any instance of
+    the fleet. An instance that starts while the store is unreachable waits
+    ``peer_wait`` for the revisions of its peers.
     """
 
     key: str = "configuration"
     watchers: int = 2
     watch_wait: float = 10.0
-    watch_retry: float = 1.0
-    audit_every: float = 1.0
+    watch_retry_delay: float = 1.0
+    audit_interval: float = 1.0
     peer_wait: float = 3.0
 
 
 class Stamp(NamedTuple):
-    """A value's revision, its operation id and those of the revisions before it."""
+    """Identify a value by its revision and operation id, with recent operation ids."""
 
     revision: int
     operation: str
@@ -39,108 +41,112 @@
 
 
 class Adopted(NamedTuple):
-    """This value is in force from now on."""
+    """Report that a value is now in force."""
 
     value: str
     stamp: Stamp
 
 
 class Ignored(NamedTuple):
-    """A newer value can't be read, so the one in force stays."""
+    """Report that a value can't be read and is ignored."""
 
     source: str
     failure: ChervilwingError
 
 
 class Revisions:
-    """The revision that this instance has in force.
+    """Hold the revision that this instance has in force and decide on newer ones.
 
-    The membership carries the values between instances; ``hear`` takes one. ``read``
-    returns a value's Stamp or raises BadConfiguration; ``rng`` is a random.Random.
-    ``start`` comes once, after the first ``enlist``.
+    Pass values that the membership receives from peers to ``hear``. ``read_stamp``
+    returns the Stamp of a value or raises BadConfiguration; ``rng`` is a random.Random.
+    Call ``start`` once, after the first ``enlist``.
     """
 
-    def __init__(self, cfg, instance, read, rng):
+    def __init__(self, cfg, instance, read_stamp, rng):
         self.cfg = cfg
         self.instance = instance
         self.value = ""
         self.stamp = Stamp(0, "")
-        self._read = read
+        self._read_stamp = read_stamp
         self._rng = rng
         self._members = {}
         self._elected = False
         self._version = 0
         self._tokens = (f"revisions-{instance}-{n}" for n in itertools.count())
         self._calls = {}
-        self._store_heard = False
+        self._store_answered = False
         self._ready = False
         self._peers_until = math.inf
         self._watch_at = 0.0
         self._audit_at = math.inf
 
     def enlist(self, members):
-        """Take the live instances with their data centres, and who watches now.
+        """Set the live instances, name to data centre, and elect the watchers.
 
-        The watchers of a data centre are its first few by rank: their number stays
-        the same as the fleet grows, and the next in rank follows one that dies.
+        The watchers of a data centre are its first few instances by rank. Their number
+        doesn't grow with the fleet, and the next in rank replaces one that dies.
         """
         self._members = dict(members)
-        home = self._members.get(self.instance)
-        near = [name for name, place in self._members.items() if place == home]
-        chosen = rank(f"{WATCH}/{home}", near)[: self.cfg.watchers]
-        self._elected = self.instance in chosen
+        data_centre = self._members.get(self.instance)
+        candidates = [
+            name for name, place in self._members.items() if place == data_centre
+        ]
+        watchers = rank(f"{WATCH}/{data_centre}", candidates)[: self.cfg.watchers]
+        self._elected = self.instance in watchers
 
     @property
     def elected(self):
-        """Tell whether this instance is one of its data centre's watchers."""
+        """Whether this instance is one of its data centre's watchers."""
         return self._elected
 
     def start(self, now):
-        """Ask the store; the peers' values come by ``hear``."""
+        """Read the configuration from the store; return the store call."""
         self._peers_until = now + self.cfg.peer_wait
-        self._audit_at = now + self._rng.uniform(0, self._audit_mean())
+        self._audit_at = now + self._rng.uniform(0, self._mean_audit_interval())
         return (self._call(READ, Read(self.cfg.key)),)
 
     def explain_not_ready(self):
-        """Return None once ready, else a NoConfiguration that says what is missing."""
+        """Return None if ready, else a NoConfiguration with the reason."""
         if self._ready:
             return None
-        store = "holds none" if self._store_heard else "no answer"
-        known = len(self._members.keys() - {self.instance})
-        heard = f"revision {self.stamp.revision}" if self.stamp.revision else "none"
+        store = "holds none" if self._store_answered else "no answer"
+        known_peers = len(self._members.keys() - {self.instance})
+        received = f"revision {self.stamp.revision}" if self.stamp.revision else "none"
         return NoConfiguration(
-            f"{STORE}: {store}; {PEERS}: {known} known, {heard} heard"
+            f"{STORE}: {store}; {PEERS}: {known_peers} known, {received} heard"
         )
 
     def hear(self, value, now):
-        """Take a value that the membership brought."""
-        actions = self._consider(value, PEERS)
-        self._stop_waiting(now)
+        """Handle a value that the membership received; return actions."""
+        actions = self._adopt_if_newer(value, PEERS)
+        self._end_peer_wait(now)
         return actions
 
     def receive(self, token, reply, now):
-        """Take the store's reply to a call."""
+        """Handle the store's reply to a call; return actions."""
         kind = self._calls.pop(token, None)
         if kind is None:
             return ()
         if isinstance(reply, Unanswered):
-            self._watch_at = now + self.cfg.watch_retry
+            self._watch_at = now + self.cfg.watch_retry_delay
             return ()
-        self._store_heard = True
+        self._store_answered = True
         if isinstance(reply, Missing):
             return self._watch(now)
         self._version = max(self._version, reply.version)
-        actions = self._consider(reply.value, STORE)
-        # The store's answer is the newest there is, so what is in force is too.
+        actions = self._adopt_if_newer(reply.value, STORE)
+        # The store has the newest revision, so the one in force is the newest as well.
         self._ready = self.stamp.revision > 0
         return (*actions, *self._watch(now))
 
     def tick(self, now):
-        """Do what time has made due; call it some times a second."""
-        self._stop_waiting(now)
+        """Return the store calls that are due; call it a few times a second."""
+        self._end_peer_wait(now)
         actions = [*self._watch(now)]
         if now >= self._audit_at:
-            self._audit_at = now + self._rng.uniform(0.5, 1.5) * self._audit_mean()
+            self._audit_at = (
+                now + self._rng.uniform(0.5, 1.5) * self._mean_audit_interval()
+            )
             actions.append(self._call(READ, Read(self.cfg.key)))
         return tuple(actions)
 
@@ -151,33 +157,33 @@
         request = Watch(self.cfg.key, self._version, self.cfg.watch_wait)
         return (self._call(WATCH, request),)
 
-    def _audit_mean(self):
-        # All watchers of all data centres may be frozen while the list shows them
-        # live, so nobody would hear of a new revision. Each instance reads now and
-        # then; the fleet's reads a second stay the same however large it is.
-        return self.cfg.audit_every * max(len(self._members), 1)
+    def _mean_audit_interval(self):
+        # All watchers may be frozen while the member list shows them as live; no
+        # instance would then learn of a new revision. So each instance also reads from
+        # time to time. The fleet's total read rate does not depend on its size.
+        return self.cfg.audit_interval * max(len(self._members), 1)
 
     def _call(self, kind, request):
         token = next(self._tokens)
         self._calls[token] = kind
         return StoreCall(token, request)
 
-    def _consider(self, value, source):
+    def _adopt_if_newer(self, value, source):
         try:
-            stamp = self._read(value)
+            stamp = self._read_stamp(value)
         except BadConfiguration as exc:
             return (Ignored(source, exc),)
-        # A stale peer, or an answer that was overtaken, brings an older revision: it
-        # would undo an operator's edit here for as long as nobody tells better.
+        # A stale peer or a delayed reply can carry an older revision. It would undo an
+        # operator's edit until the newer revision arrives again.
         if stamp.revision <= self.stamp.revision:
             return ()
         self.value = value
         self.stamp = stamp
         return (Adopted(value, stamp),)
 
-    def _stop_waiting(self, now):
-        # Restarted while the store is out of reach, an instance may hear a stale peer
-        # first. Ready at that it would serve an older revision than the fleet; the
-        # wait gives the membership the time to bring the newest that it reaches.
+    def _end_peer_wait(self, now):
+        # An instance that restarts while the store is unreachable may receive the value
+        # of a stale peer first, and would serve an older revision than the fleet. The
+        # wait gives the membership time to fetch the newest revision it can reach.
         if self.stamp.revision and now >= self._peers_until:
             self._ready = True
--- a/src/chervilwing/shapes.py
+++ b/src/chervilwing/shapes.py
@@ -1,4 +1,8 @@
-"""Shapes of the configuration: which keys, of which form, with which bounds."""
+"""The schema of the configuration: the keys of each entry and their readers.
+
+A reader takes a raw value and its key path; it returns the checked value or raises
+BadConfiguration.
+"""
 
 import re
 from collections.abc import Callable
@@ -31,63 +35,63 @@
 
 
 def fail(path, reason):
-    """Raise BadConfiguration that names the key path."""
+    """Raise BadConfiguration with the key path and the reason."""
     raise BadConfiguration(f"{path}: {reason}")
 
 
-def matching(pattern, form):
-    """Return a reader of texts that a pattern matches whole."""
+def text_matching(pattern, description):
+    """Return a reader of strings that fully match a pattern."""
 
     def read(raw, path):
         if not isinstance(raw, str) or not pattern.fullmatch(raw):
-            fail(path, f"{raw!r} is not {form}")
+            fail(path, f"{raw!r} is not {description}")
         return raw
 
     return read
 
 
-def choice(words):
-    """Return a reader of one of a few words."""
+def one_of(values):
+    """Return a reader of one of a few values."""
 
     def read(raw, path):
-        if raw not in words:
-            fail(path, f"{raw!r} is not one of {', '.join(words)}")
+        if raw not in values:
+            fail(path, f"{raw!r} is not one of {', '.join(values)}")
         return raw
 
     return read
 
 
-def whole(least, most):
+def whole_number(minimum, maximum):
     """Return a reader of whole numbers within bounds."""
 
     def read(raw, path):
-        if type(raw) is not int or not least <= raw <= most:
-            fail(path, f"{raw!r} is not a whole number from {least} to {most}")
+        if type(raw) is not int or not minimum <= raw <= maximum:
+            fail(path, f"{raw!r} is not a whole number from {minimum} to {maximum}")
         return raw
 
     return read
 
 
-def above_zero(most):
+def positive_number(maximum):
     """Return a reader of numbers above 0, up to ``most``."""
 
     def read(raw, path):
-        if type(raw) not in (int, float) or not isfinite(raw) or not 0 < raw <= most:
-            fail(path, f"{raw!r} is not a number above 0, up to {most}")
+        if type(raw) not in (int, float) or not isfinite(raw) or not 0 < raw <= maximum:
+            fail(path, f"{raw!r} is not a number above 0, up to {maximum}")
         return float(raw)
 
     return read
 
 
-def from_zero(most):
+def non_negative_number(maximum):
     """Return a reader of numbers from 0 to ``most``."""
-    read_above = above_zero(most)
+    read_positive = positive_number(maximum)
     return lambda raw, path: (
-        0.0 if type(raw) in (int, float) and raw == 0 else read_above(raw, path)
+        0.0 if type(raw) in (int, float) and raw == 0 else read_positive(raw, path)
     )
 
 
-def items(read_item):
+def list_of(read_item):
     """Return a reader of lists."""
 
     def read(raw, path):
@@ -98,8 +102,8 @@
     return read
 
 
-def entries(shape):
-    """Return a reader of lists of tables, named in errors by their own name."""
+def tables_of(shape):
+    """Return a reader of lists of tables; errors name a table by its ``name`` key."""
 
     def read(raw, path):
         if not isinstance(raw, list):
@@ -126,7 +130,7 @@
 
 
 def read_address(raw, path):
-    """Return an Address with a port of its own."""
+    """Return the Address of a HOST:PORT string; port 0 is an error."""
     if not isinstance(raw, str):
         fail(path, f"{raw!r} is not HOST:PORT")
     try:
@@ -144,36 +148,36 @@
 
 
 def read_optional_name(raw, path):
-    """Return a name or an empty text."""
+    """Return a name or an empty string."""
     return raw if raw == "" else read_name(raw, path)
 
 
-read_name = matching(NAME, "a name (letters, digits and . _ : / @ + -)")
-read_call = matching(CALL, "a method and a path such as 'POST /notes'")
-read_key_hash = matching(KEY_HASH, "a SHA-256 digest in small hex")
-read_kind = choice((MODEL, SERVICE))
+read_name = text_matching(NAME, "a name (letters, digits and . _ : / @ + -)")
+read_call = text_matching(CALL, "a method and a path such as 'POST /notes'")
+read_key_hash = text_matching(KEY_HASH, "a SHA-256 digest in lower-case hex")
+read_kind = one_of((MODEL, SERVICE))
 
 
 class Shape(NamedTuple):
-    """The type of an entry, a reader for each key, and keys that may be left out."""
+    """Hold an entry's type, a reader for each key, and defaults of optional keys."""
 
     type: type
     readers: dict[str, Callable[[Any, str], Any]]
     defaults: dict[str, Any]
 
 
-def _shape(type_, readers, **derived):
-    return Shape(type_, readers, {**type_._field_defaults, **derived})
+def _make_shape(type_, readers, **extra_defaults):
+    return Shape(type_, readers, {**type_._field_defaults, **extra_defaults})
 
 
-SHARE = _shape(Share, {"version": read_name, "part": above_zero(1)})
-CALL_CLASS = _shape(CallClass, {"call": read_call, "work_class": read_name})
+SHARE = _make_shape(Share, {"version": read_name, "part": positive_number(1)})
+CALL_CLASS = _make_shape(CallClass, {"call": read_call, "work_class": read_name})
 SHAPES = {
-    "pools": _shape(
-        Pool, {"name": read_name, "kind": read_kind, "models": items(read_name)}
+    "pools": _make_shape(
+        Pool, {"name": read_name, "kind": read_kind, "models": list_of(read_name)}
     ),
-    # An upstream's kind is that of its pool; the check fills it in.
-    "upstreams": _shape(
+    # An upstream gets the kind of its pool when the configuration is checked.
+    "upstreams": _make_shape(
         Upstream,
         {
             "name": read_name,
@@ -182,79 +186,79 @@
             "address": read_address,
             "data_centre": read_name,
             "machine_class": read_name,
-            "slots": whole(1, 65536),
+            "slots": whole_number(1, 65536),
             "fenced": read_flag,
             "zone": read_optional_name,
         },
         kind="",
     ),
-    "services": _shape(
+    "services": _make_shape(
         Service,
         {
             "name": read_name,
             "pool": read_name,
-            "non_idempotent": items(read_call),
-            "idempotent": items(read_call),
+            "non_idempotent": list_of(read_call),
+            "idempotent": list_of(read_call),
             "work_class": read_optional_name,
-            "calls": entries(CALL_CLASS),
+            "calls": tables_of(CALL_CLASS),
         },
     ),
-    "customers": _shape(
+    "customers": _make_shape(
         Customer,
         {
             "name": read_name,
-            "key_hashes": items(read_key_hash),
-            "weight": above_zero(1000),
-            "queue_limit": whole(1, 1_000_000),
+            "key_hashes": list_of(read_key_hash),
+            "weight": positive_number(1000),
+            "queue_limit": whole_number(1, 1_000_000),
             "work_class": read_name,
-            "allowed": items(read_allowed),
+            "allowed": list_of(read_allowed),
         },
     ),
-    "classes": _shape(
+    "classes": _make_shape(
         WorkClass,
         {
             "name": read_name,
-            "priority": whole(0, 9),
-            "deadline": above_zero(86400),
-            "first_token": above_zero(86400),
+            "priority": whole_number(0, 9),
+            "deadline": positive_number(86400),
+            "first_token": positive_number(86400),
         },
     ),
-    "routes": _shape(
+    "routes": _make_shape(
         ModelRoute,
         {
             "name": read_name,
             "pool": read_name,
-            "shares": entries(SHARE),
+            "shares": tables_of(SHARE),
             "work_class": read_optional_name,
         },
     ),
-    "fleets": _shape(
+    "fleets": _make_shape(
         Fleet,
         {
             "name": read_name,
             "pool": read_name,
-            "machine_classes": items(read_name),
-            "min_instances": whole(0, 100_000),
-            "max_instances": whole(0, 100_000),
-            "spare": from_zero(1),
-            "price_ceiling": from_zero(1_000_000),
+            "machine_classes": list_of(read_name),
+            "min_instances": whole_number(0, 100_000),
+            "max_instances": whole_number(0, 100_000),
+            "spare": non_negative_number(1),
+            "price_ceiling": non_negative_number(1_000_000),
         },
     ),
 }
 INVENTORY = Shape(
     Inventory,
-    {name: entries(SHAPES[name]) for name in Inventory._fields},
+    {name: tables_of(SHAPES[name]) for name in Inventory._fields},
     Inventory._field_defaults,
 )
 RULES = Shape(
     Rules,
-    {name: entries(SHAPES[name]) for name in Rules._fields},
+    {name: tables_of(SHAPES[name]) for name in Rules._fields},
     Rules._field_defaults,
 )
 
 
 def read_entry(shape, raw, path):
-    """Return one entry from plain data; raise BadConfiguration that names the key."""
+    """Return an entry from plain data; raise BadConfiguration with the key path."""
     if not isinstance(raw, dict):
         fail(path, "not a table")
     prefix = f"{path}." if path else ""
@@ -273,10 +277,10 @@
 
 
 def to_plain(value):
-    """Return an entry as plain data, without the keys that hold their default.
+    """Return an entry as plain data, without keys that have their default value.
 
-    Defaults are left out so that an older daemon, which refuses keys it doesn't know,
-    still reads a document that doesn't use the newer keys.
+    An older daemon refuses unknown keys. Without the defaults it can still read a
+    document that doesn't use the newer keys.
     """
     if isinstance(value, Address):
         return format_address(value)
--- a/src/chervilwing/stores.py
+++ b/src/chervilwing/stores.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's key-value service, as messages in and messages out."""
+"""HTTP calls to the platform's key-value service, from and to typed messages."""
 
 import json
 from urllib.parse import quote, urlencode
@@ -73,7 +73,7 @@
 
 
 def decode(req, status, body):
-    """Return the reply that an answer stands for; what can't be read is Unanswered."""
+    """Return the reply in an HTTP response; Unanswered if it can't be decoded."""
     reply = DECODERS.get((type(req), status))
     if reply is None:
         return Unanswered()
@@ -84,10 +84,10 @@
 
 
 class Store:
-    """Send requests to the key-value service and hand each reply to its sender.
+    """Send requests to the key-value service and pass replies to callbacks.
 
-    Every failure of the path is ``Unanswered``: a write may have taken effect although
-    its answer was lost, so the sender has to read before it may conclude anything.
+    Each network failure is reported as ``Unanswered``. A write may have taken effect
+    although its reply was lost, so the sender has to read the key to find out.
     """
 
     def __init__(self, cfg, client):
@@ -96,7 +96,7 @@
         self.address = cfg.store
 
     def submit(self, req, reply):
-        """Send one request; ``reply`` gets a StoreReply exactly once."""
+        """Send one request; ``reply`` is called exactly once, with a StoreReply."""
         method, path, body = ENCODERS[type(req)](req)
         wait = req.wait if isinstance(req, Watch) else 0.0
         call = Call(
@@ -113,41 +113,45 @@
         )
 
     def carry(self, action, received):
-        """Send a core's StoreCall and hand its reply back with the token."""
+        """Send a core's StoreCall; call ``received`` with its token and the reply."""
         self.submit(action.request, lambda reply: received(action.token, reply))
 
 
 def collect(reply, path_lost=None):
-    """Return handlers that gather a whole answer; status 0 stands for none.
+    """Return handlers that call ``reply`` with the status and body of a response.
 
-    ``path_lost`` is called in place of ``reply`` when only old connections failed.
+    The status is 0 if there was none. ``path_lost`` is called instead of ``reply`` if
+    only old connections failed.
     """
     parts = []
     status = []
 
-    def head(code, headers):
+    def on_head(code, headers):
         status.append(code)
 
-    def done():
+    def on_done():
         reply(status[0], b"".join(parts))
 
-    def failed(exc):
+    def on_failed(exc):
         if path_lost is not None and isinstance(exc, PathSilent):
             path_lost()
             return
         reply(0, b"")
 
-    return CallHandlers(head, parts.append, done, failed)
+    return CallHandlers(on_head, parts.append, on_done, on_failed)
 
 
 def collect_json(reply, path_lost=None):
-    """Return handlers that gather an answer and decode its JSON, if it has any."""
+    """Return handlers that call ``reply`` with the status and the decoded JSON.
 
-    def decoded(status, body):
+    The JSON value is None for an empty body; invalid JSON gives status 0.
+    """
+
+    def on_body(status, body):
         try:
             value = json.loads(body) if body else None
         except ValueError:
             status, value = 0, None
         reply(status, value)
 
-    return collect(decoded, path_lost)
+    return collect(on_body, path_lost)
--- a/src/chervilwing/wire.py
+++ b/src/chervilwing/wire.py
@@ -1,4 +1,4 @@
-"""Typed messages between entry instances as plain lists, checked when they come in."""
+"""Rebuild typed messages from the plain lists that entry instances exchange."""
 
 from functools import cache
 from types import NoneType, UnionType
@@ -9,54 +9,56 @@
 NUMBERS = (int, float)
 
 
-def is_record(kind):
-    """Tell whether a type is a NamedTuple."""
+def is_named_tuple(type_):
+    """Return whether a type is a NamedTuple."""
     return (
-        isinstance(kind, type) and issubclass(kind, tuple) and hasattr(kind, "_fields")
+        isinstance(type_, type)
+        and issubclass(type_, tuple)
+        and hasattr(type_, "_fields")
     )
 
 
 @cache
-def list_kinds(kind):
+def list_field_types(type_):
     """Return the types of a NamedTuple's fields, in order."""
-    hints = get_type_hints(kind)
-    return tuple(hints[name] for name in kind._fields)
+    hints = get_type_hints(type_)
+    return tuple(hints[name] for name in type_._fields)
 
 
-def rebuild(kind, value):
-    """Return the value as the type that is expected, or raise BadFrame."""
-    if kind is Any:
+def rebuild(type_, value):
+    """Return a received value as an instance of ``type_``, or raise BadFrame."""
+    if type_ is Any:
         return value
-    if get_origin(kind) in (Union, UnionType):
-        return rebuild_union(kind, value)
-    if get_origin(kind) is tuple:
-        return rebuild_tuple(kind, value)
-    if is_record(kind):
-        return rebuild_record(kind, value)
-    expected = NUMBERS if kind is float else kind
-    if isinstance(value, bool) and kind is not bool or not isinstance(value, expected):
-        raise BadFrame(f"A field is not of type {kind.__name__}.")
+    if get_origin(type_) in (Union, UnionType):
+        return rebuild_union(type_, value)
+    if get_origin(type_) is tuple:
+        return rebuild_tuple(type_, value)
+    if is_named_tuple(type_):
+        return rebuild_named_tuple(type_, value)
+    expected = NUMBERS if type_ is float else type_
+    if isinstance(value, bool) and type_ is not bool or not isinstance(value, expected):
+        raise BadFrame(f"A field is not of type {type_.__name__}.")
     return value
 
 
-def rebuild_union(kind, value):
-    """Return an optional value; a union of two messages can't be told apart here."""
-    if value is None and NoneType in get_args(kind):
+def rebuild_union(type_, value):
+    """Return an optional value; unions of two message types aren't supported."""
+    if value is None and NoneType in get_args(type_):
         return None
-    inner = [item for item in get_args(kind) if item is not NoneType]
-    return rebuild(inner[0], value)
+    members = [item for item in get_args(type_) if item is not NoneType]
+    return rebuild(members[0], value)
 
 
-def rebuild_tuple(kind, value):
-    """Return a tuple whose items all have one type."""
+def rebuild_tuple(type_, value):
+    """Return a tuple from a list whose items all have the same type."""
     if not isinstance(value, (list, tuple)):
         raise BadFrame("A field is not a list.")
-    return tuple(rebuild(get_args(kind)[0], item) for item in value)
+    return tuple(rebuild(get_args(type_)[0], item) for item in value)
 
 
-def rebuild_record(kind, value):
+def rebuild_named_tuple(type_, value):
     """Return a NamedTuple from the list of its fields."""
-    kinds = list_kinds(kind)
-    if not isinstance(value, (list, tuple)) or len(value) != len(kinds):
-        raise BadFrame(f"A {kind.__name__} has {len(kinds)} fields.")
-    return kind(*(rebuild(*pair) for pair in zip(kinds, value, strict=True)))
+    types = list_field_types(type_)
+    if not isinstance(value, (list, tuple)) or len(value) != len(types):
+        raise BadFrame(f"A {type_.__name__} has {len(types)} fields.")
+    return type_(*(rebuild(*pair) for pair in zip(types, value, strict=True)))
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from chervilwing.calls import find_class, is_idempotent, matches
-from chervilwing.checks import check
+from chervilwing.checks import check_consistency
 from chervilwing.documents import (
     MAX_BYTES,
     PartFile,
@@ -22,12 +22,12 @@
 
 
 def read_example(name):
-    """Return the checked inventory and rules of one example."""
+    """Return the validated inventory and rules of an example."""
     parts = []
     for part in ("inventory", "rules"):
         text = (EXAMPLES / name / f"{part}.toml").read_text()
         parts.append(parse_file(part, text).unwrap().part)
-    return check(*parts)
+    return check_consistency(*parts)
 
 
 def make_document():
@@ -73,8 +73,8 @@
     }
 
 
-# The key path of a value, what is put there, and the path that the error names.
-BAD = (
+# The key path of a value, an invalid value, and the path that the error names.
+BAD_VALUES = (
     ("revision", 0, "revision"),
     ("revision", True, "revision"),
     ("colour", 1, "colour"),
@@ -116,29 +116,29 @@
 
 
 class TestDocument(unittest.TestCase):
-    def test_goes_there_and_back(self):
+    def test_serialised_document_parses_to_the_same_configuration(self):
         for name in ("andesur", "tournelle"):
             with self.subTest(example=name):
                 cfg = Configuration(7, "op-7", *read_example(name), "ana", "2026-12-02")
                 self.assertEqual(parse_document(serialise(cfg)).unwrap(), cfg)
 
-    def test_each_check_names_the_key_path(self):
-        for path, value, named in BAD:
+    def test_each_error_names_the_key_path(self):
+        for path, value, error_path in BAD_VALUES:
             with self.subTest(path=path, value=value):
                 document = make_document()
                 *parents, last = [
                     int(part) if part.isdigit() else part for part in path.split(".")
                 ]
-                place = document
+                target = document
                 for part in parents:
-                    place = place[part]
-                place[last] = value
+                    target = target[part]
+                target[last] = value
                 exc = parse_document(json.dumps(document)).failure()
                 self.assertIsInstance(exc, BadConfiguration)
-                self.assertTrue(str(exc).startswith(f"{named}: "), str(exc))
+                self.assertTrue(str(exc).startswith(f"{error_path}: "), str(exc))
                 self.assertNotIn("\n", str(exc))
 
-    def test_missing_key_and_broken_text(self):
+    def test_missing_key_and_malformed_text_are_errors(self):
         document = make_document()
         del document["inventory"]["upstreams"][0]["pool"]
         text = str(parse_document(json.dumps(document)).failure())
@@ -154,7 +154,7 @@
         stored = json.loads(serialise(cfg))["inventory"]["upstreams"][0]
         self.assertEqual(sorted(stored), ["address", "data_centre", "name", "pool"])
 
-    def test_refuses_a_document_over_the_services_limit(self):
+    def test_document_over_the_size_limit_is_refused(self):
         customers = tuple(Customer("c" * 100 + str(i)) for i in range(MAX_BYTES // 100))
         cfg = Configuration(1, "op", Inventory(), Rules(customers))
         with self.assertRaises(BadConfiguration):
@@ -162,7 +162,7 @@
 
 
 class TestFiles(unittest.TestCase):
-    def test_examples_have_the_sizes_of_the_brief(self):
+    def test_examples_have_the_expected_sizes(self):
         for name in ("andesur", "tournelle"):
             with self.subTest(example=name):
                 inventory, rules = read_example(name)
@@ -171,17 +171,17 @@
                 self.assertEqual(len({u.data_centre for u in inventory.upstreams}), 3)
                 self.assertEqual((len(rules.customers), len(rules.classes)), (5, 4))
 
-    def test_toml_goes_there_and_back(self):
+    def test_rendered_toml_parses_to_the_same_parts(self):
         inventory, rules = read_example("andesur")
-        again = []
+        parts = []
         for name, part in (("inventory", inventory), ("rules", rules)):
             text = render_file(PartFile(7, part))
             revision, part = parse_file(name, text).unwrap()
             self.assertEqual(revision, 7)
-            again.append(part)
-        self.assertEqual(check(*again), (inventory, rules))
+            parts.append(part)
+        self.assertEqual(check_consistency(*parts), (inventory, rules))
 
-    def test_bad_toml_is_a_bad_configuration(self):
+    def test_invalid_toml_fails_with_bad_configuration(self):
         texts = ("[[pools]", "pools = 3", "[[customers]]\nname = 'c'", "revision = 0")
         for text in texts:
             result = parse_file("inventory", text)
@@ -199,10 +199,10 @@
         service = service._replace(work_class="quote")
         self.assertEqual(find_class(service, customer, "GET", "/other"), "quote")
 
-    def test_a_disguised_path_is_still_not_idempotent(self):
-        # A broker's client sends //notes; the portal reads it as /notes and binds. Were
-        # the entry to take it for an idempotent call, a broken connection would be
-        # retried and the insurer would hold two notes.
+    def test_variant_spelling_of_a_path_is_not_idempotent(self):
+        # A client sends POST //notes, which the service handles as POST /notes. If it
+        # counted as idempotent, it would be retried after a broken connection and the
+        # service could create two notes.
         service = read_example("andesur")[0].services[0]
         paths = (
             "/notes",
@@ -218,9 +218,10 @@
         self.assertFalse(matches("POST /notes", "POST", "/notesheet"))
         self.assertTrue(is_idempotent(service, "GET", "/notes"))
 
-    def test_a_forgotten_line_costs_a_retry_and_no_second_effect(self):
-        # An operator adds a call that books something and forgets to list it. Were an
-        # unlisted POST taken for repeatable, a broken connection would book it twice.
+    def test_unlisted_post_is_not_idempotent(self):
+        # An operator forgets to list a new POST call that books something. If an
+        # unlisted POST counted as idempotent, a retry after a broken connection could
+        # book twice.
         service = read_example("andesur")[0].services[0]
         self.assertFalse(is_idempotent(service, "POST", "/notesheet"))
         self.assertTrue(is_idempotent(service, "POST", "/quotes/check"))
@@ -229,4 +230,4 @@
 
     def test_unused_pool_is_allowed(self):
         inventory = Inventory(pools=(Pool("p", "model"),))
-        self.assertEqual(check(inventory, Rules())[0], inventory)
+        self.assertEqual(check_consistency(inventory, Rules())[0], inventory)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the streams between entry instances: bad bytes end one stream only."""
+"""Tests of the streams between entry instances: bad data closes one stream only."""
 
 import contextlib
 import random
@@ -12,7 +12,7 @@
 from chervilwing.frames import MAX_FRAME, Decoder, Frame, encode
 from chervilwing.gossip import Record, to_wire
 from chervilwing.models import Address
-from chervilwing.peers import split
+from chervilwing.peers import split_message
 from chervilwing.segments import Outcome, Verdict
 from chervilwing.wire import rebuild
 from tests.deployments import Deployment, complete
@@ -22,7 +22,7 @@
 
 
 class Sample(NamedTuple):
-    """One field of each form that messages have."""
+    """A message with one field of each supported type."""
 
     name: str
     number: float
@@ -31,41 +31,43 @@
     outcome: Outcome | None = None
 
 
-GOOD = ["a", 1, 2, ["b"], [200, "body", True]]
+VALID_FIELDS = ["a", 1, 2, ["b"], [200, "body", True]]
 
 
 class TestWire(unittest.TestCase):
-    def test_a_message_comes_back_as_its_type(self):
-        sample = rebuild(Sample, GOOD)
+    def test_message_is_rebuilt_as_its_type(self):
+        sample = rebuild(Sample, VALID_FIELDS)
         self.assertEqual(sample.outcome, Outcome(200, "body"))
         self.assertEqual(sample.names, ("b",))
         verdict = Verdict("claim", "op", "granted", 3.0)
         frame = Decoder().feed(encode(Frame("message", list(verdict))))[0]
         self.assertEqual(rebuild(Verdict, frame.body), verdict)
 
-    def test_a_large_message_goes_in_parts_that_each_fit_a_frame(self):
-        # A recorded outcome may be larger than a frame. Sent as one it was refused at
-        # the sender, and the caller's retry on another instance never saw it.
+    def test_large_message_is_sent_in_parts_that_fit_a_frame(self):
+        # A recorded outcome may be larger than a frame. In a single frame the sender
+        # refused it, and the caller's retry on another instance never got the outcome.
         body = packb(["Verdict", ["x" * 900_000]])
-        data = b"".join(encode(frame) for frame in split(body))
-        found = Decoder().feed(data)
-        self.assertEqual(b"".join(frame.body for frame in found), body)
-        self.assertEqual([frame.type for frame in found][-2:], ["part", "message"])
-
-    def test_wrong_shapes_are_bad_frames(self):
-        # A peer of another version sends a message with other fields. Anything but a
-        # BadFrame would end the task that serves all peers.
+        data = b"".join(encode(frame) for frame in split_message(body))
+        frames = Decoder().feed(data)
+        self.assertEqual(b"".join(frame.body for frame in frames), body)
+        self.assertEqual([frame.type for frame in frames][-2:], ["part", "message"])
+
+    def test_malformed_fields_raise_bad_frame(self):
+        # A peer of another version sends a message with different fields. Any exception
+        # other than BadFrame would end the task that serves all peers.
         rng = random.Random(SEED)
-        junk = (None, True, 7, -1.5, "x", b"y", [], [[]], {"k": 1}, ["a"] * 9)
+        invalid_values = (None, True, 7, -1.5, "x", b"y", [], [[]], {"k": 1}, ["a"] * 9)
         for _ in range(2000):
-            fields = list(GOOD)
-            fields[rng.randrange(len(fields))] = rng.choice(junk)
-            value = rng.choice((fields, fields[: rng.randrange(5)], rng.choice(junk)))
+            fields = list(VALID_FIELDS)
+            fields[rng.randrange(len(fields))] = rng.choice(invalid_values)
+            value = rng.choice(
+                (fields, fields[: rng.randrange(5)], rng.choice(invalid_values))
+            )
             try:
                 rebuild(Sample, value)
             except BadFrame:
                 continue
-            self.assertEqual(len(value), len(GOOD))
+            self.assertEqual(len(value), len(VALID_FIELDS))
 
 
 class TestPeerPort(unittest.TestCase):
@@ -74,14 +76,15 @@
         self.addCleanup(self.deployment.close)
         self.deployment.start_upstreams()
 
-    def test_garbage_ends_its_own_connection_and_nothing_else(self):
-        # A port scanner, or an instance of a future version, connects to the peer port.
-        # Its stream ends with a typed failure; callers and other peers notice nothing.
+    def test_malformed_data_closes_only_its_own_connection(self):
+        # A port scanner or an instance of a future version connects to the peer port.
+        # Only its stream is closed, with a BadFrame; callers and other peers are
+        # served.
         entry = self.deployment.start_entry("one")
         port = entry.info["peer_port"]
         record = Record("stranger", Address(HOST, 1), "a", "local")
         hello = encode(Frame("hello", to_wire(record)))
-        attacks = (
+        inputs = (
             b"GET / HTTP/1.1\r\n\r\n",
             (MAX_FRAME + 1).to_bytes(4, "big"),
             hello + encode(Frame("message", packb(["Verdict", ["too", "few"]]))),
@@ -91,12 +94,12 @@
             encode(Frame("no-such-type", None)),
             encode(Frame("hello", [0, "x"])),
         )
-        for data in attacks:
+        for data in inputs:
             with self.subTest(data=data[:20]):
                 with socket.create_connection((HOST, port), 10) as sock:
                     with contextlib.suppress(ConnectionError):
                         sock.sendall(data)
                         while sock.recv(65536):
                             pass
-        poll(lambda: read_file(entry.stderr).count('"bad frame"') == len(attacks))
+        poll(lambda: read_file(entry.stderr).count('"bad frame"') == len(inputs))
         self.assertEqual(complete(entry).status, 200)
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -1,4 +1,4 @@
-"""Tests of revisions: when an instance is ready, and what it takes from its peers."""
+"""Tests of revisions: when an instance is ready, and which values it adopts."""
 
 import random
 import unittest
@@ -22,16 +22,16 @@
         self.core.enlist(MEMBERS)
         (self.read,) = self.core.start(0.0)
 
-    def test_store_answer_makes_ready_at_once(self):
+    def test_reply_of_the_store_makes_ready_at_once(self):
         self.core.receive(self.read.token, Found("2 op-2", 7), 0.1)
         self.assertIsNone(self.core.explain_not_ready())
         self.assertEqual(self.core.stamp.revision, 2)
 
-    def test_peers_make_ready_only_after_the_wait(self):
-        """Callers meet rules that an operator has replaced minutes ago.
+    def test_value_of_a_peer_makes_ready_only_after_the_wait(self):
+        """An instance applies rules that an operator replaced minutes ago.
 
-        An instance restarts while the store is down. The first peer that it hears was
-        cut off during the edit and has revision 1; one with revision 2 comes later.
+        It restarts while the store is down. The first value comes from a peer that was
+        cut off during the edit and has revision 1; revision 2 arrives later.
         """
         self.core.receive(self.read.token, Unanswered(), 0.1)
         self.core.hear("1 op-1", 0.2)
@@ -70,15 +70,17 @@
         publish = lambda *args: self.published.append(args)
         self.follower = Follower(cfg, None, publish, dispatcher)
 
-    def test_value_of_a_peer_comes_into_force(self):
+    def test_value_of_a_peer_is_put_in_force(self):
         value = serialise(make_configuration(Upstreams((), ()), 4)).encode()
         self.follower.hear(value)
-        self.assertEqual([one.revision for one in self.configured], [4])
+        self.assertEqual(
+            [configuration.revision for configuration in self.configured], [4]
+        )
         self.assertEqual(self.published, [(4, value)])
 
-    def test_value_too_large_to_spread_still_comes_into_force(self):
-        # Someone wrote a configuration over a megabyte past our tools. The instances
-        # that read it must go on, each by its own readings of the store.
+    def test_value_too_large_to_publish_is_put_in_force(self):
+        # Somebody wrote a configuration over a megabyte without the operators' tools.
+        # The instances that read it must keep running; each reads the store itself.
         def refuse(number, value):
             raise TooLarge("over the limit")
 
@@ -86,9 +88,9 @@
         self.follower.hear(serialise(make_configuration(Upstreams((), ()))).encode())
         self.assertEqual(len(self.configured), 1)
 
-    def test_bytes_that_are_no_text_are_ignored(self):
-        # A peer of another version spreads a value in a form that this one can't read.
-        # Raised in the task that serves all peers, the failure would end it.
+    def test_malformed_values_are_ignored(self):
+        # A peer of another version publishes a value that this version can't decode. An
+        # exception would end the task that serves all peers.
         self.follower.hear(b"\xff\xfe")
         self.follower.hear(b"{}")
         self.assertEqual((self.configured, self.published), ([], []))
