--- a/src/chervilwing/notices.py
+++ b/src/chervilwing/notices.py
@@ -20,7 +20,7 @@
 LEAVING = "leaving"
 
 
-def read_listed(row):
+def read_listed_upstream(row):
     """Return the Upstream that a row of the instance list adds to a pool, or None."""
     try:
         return read_upstream(row) if row.get("pool") else None
@@ -128,7 +128,7 @@
         for row in value.get("instances", ()):
             if row.get("state") == LEAVING:
                 self._apply_notice(str(row.get("name")), 0.0)
-            upstream = read_listed(row)
+            upstream = read_listed_upstream(row)
             if upstream is not None:
                 listed[upstream.name] = upstream
         self._dispatch.update_listed(listed)
--- a/src/chervilwing/revisions.py
+++ b/src/chervilwing/revisions.py
@@ -76,7 +76,7 @@
         self._calls = {}
         self._store_answered = False
         self._ready = False
-        self._peers_until = math.inf
+        self._peer_wait_until = math.inf
         self._watch_at = 0.0
         self._audit_at = math.inf
 
@@ -101,7 +101,7 @@
 
     def start(self, now):
         """Read the configuration from the store; return the store call."""
-        self._peers_until = now + self.cfg.peer_wait
+        self._peer_wait_until = now + self.cfg.peer_wait
         self._audit_at = now + self._rng.uniform(0, self._mean_audit_interval())
         return (self._call(READ, Read(self.cfg.key)),)
 
@@ -185,5 +185,5 @@
         # An instance that restarts while the store is unreachable may receive the value
         # of a stale peer first, and would serve an older revision than the fleet. The
         # wait gives the membership time to fetch the newest revision it can reach.
-        if self.stamp.revision and now >= self._peers_until:
+        if self.stamp.revision and now >= self._peer_wait_until:
             self._ready = True
--- a/tests/deployments.py
+++ b/tests/deployments.py
@@ -1,4 +1,4 @@
-"""A whole deployment of processes: stand-ins, a configuration, entry instances."""
+"""A deployment of real processes: fake platform services and entry instances."""
 
 import json
 import uuid
@@ -29,7 +29,7 @@
 
 
 class Upstreams(NamedTuple):
-    """The back ends of a deployment."""
+    """Hold the upstream processes of a deployment."""
 
     engines: tuple[Process, ...]
     services: tuple[Process, ...]
@@ -38,7 +38,7 @@
 def make_configuration(
     upstreams, revision=1, operation="first", centres=(), models=("memo",), fenced=True
 ):
-    """Return the configuration that lists these back ends, engines by data centre."""
+    """Return a configuration with these upstreams; ``centres`` are the engines'."""
     rows = [
         Upstream(
             f"engine-{i}",
@@ -71,7 +71,7 @@
 
 
 class Deployment:
-    """State of the processes of one test; ``close`` ends them all."""
+    """Hold the processes of one test; ``close`` ends them all."""
 
     def __init__(self):
         self.processes = Processes()
@@ -82,7 +82,7 @@
         self.peer_ports = []
 
     def start_upstreams(self, engines=1, services=1, options=()):
-        """Start back ends and put a configuration that lists them in the store."""
+        """Start upstreams and store a configuration that lists them."""
         start = self.processes.start_fake
         self.upstreams = Upstreams(
             tuple(start("engine", *options) for _ in range(engines)),
@@ -91,7 +91,7 @@
         self.put_configuration(make_configuration(self.upstreams))
 
     def put_configuration(self, configuration, expect=0):
-        """Write the configuration as an operator's tool would."""
+        """Write the configuration to the store; return its version."""
         body = {"value": serialise(configuration), "expect": expect}
         status, answer = self.store.put(f"/kv/{CONFIG_KEY}", body)
         assert status == 200, answer
@@ -122,7 +122,10 @@
         peer=None,
         ready=True,
     ):
-        """Start an entry instance, perhaps behind a relay, and wait until ready."""
+        """Start an entry instance and wait until it is ready.
+
+        With ``peer``, a relay process, other instances connect to it through the relay.
+        """
         seeds = ",".join(f"{HOST}:{port}" for port in self.peer_ports)
         entry = self.processes.start_daemon(
             *("--listen", f"{HOST}:0", "--peer-listen", f"{HOST}:0"),
@@ -147,14 +150,14 @@
 
 
 def complete(entry, prompt="hello", count=8, stream=False, headers=()):
-    """Make one model call and return its answer."""
+    """Send one completion request and return its response."""
     body = {"model": "memo", "prompt": prompt, "max_tokens": count, "stream": stream}
     path = "/v1/completions"
     return call(entry.port, "POST", path, body, AUTHORISED | dict(headers))
 
 
 def read_stream(answer):
-    """Return the text of a streamed answer, and whether its end mark came."""
+    """Return the text of a streamed response, and whether its end marker arrived."""
     events = answer.events()
     ended = bool(events) and events[-1] == "[DONE]"
     chunks = [json.loads(event) for event in events if event != "[DONE]"]
@@ -162,7 +165,7 @@
 
 
 def new_key(now):
-    """Return an idempotency key, a UUIDv7, for a time in Unix seconds."""
+    """Return an idempotency key, a UUIDv7, for a Unix time in seconds."""
     number = int(now * 1000) << 80 | uuid.uuid4().int & ((1 << 80) - 1)
     number = number & ~(0xF << 76) | 0x7 << 76
     return str(uuid.UUID(int=number & ~(0x3 << 62) | 0x2 << 62))
--- a/tests/weakened.py
+++ b/tests/weakened.py
@@ -197,7 +197,7 @@
     ),
     Weakness(
         "ready at the first peer's value",
-        (Edit("revisions", "now >= self._peers_until", "True"),),
+        (Edit("revisions", "now >= self._peer_wait_until", "True"),),
         ("restart-in-outage",),
     ),
     Weakness(
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,7 @@
-"""A simulated world for the scenarios: clock, store with faults, service, engines."""
+"""A simulated deployment for the scenarios: clock, store with faults, service, engines.
+
+A note is a non-idempotent request that must run at most once on the service.
+"""
 
 import heapq
 import itertools
@@ -17,16 +20,17 @@
 
 EPOCH = 1.8e9
 TICK = 0.02
-STORE_WAIT = 0.5
+STORE_TIMEOUT = 0.5
 LIST_LAG = 3.0
-# Of the membership: how long a value is on its way at most, and its exchanges.
-SPREAD = 0.5
-EXCHANGE_EVERY = 1.0
-CONFIGURATION = RevisionSettings().key
+# Of the simulated membership, in seconds: the longest delay of a value between two
+# instances, and the interval at which an instance exchanges values with another.
+MAX_VALUE_DELAY = 0.5
+EXCHANGE_INTERVAL = 1.0
+CONFIG_KEY = RevisionSettings().key
 
 
 class Effect(NamedTuple):
-    """What the service saw: the oracle of at-most-once."""
+    """Record that the service ran a note; the test oracle of at most once."""
 
     time: float
     note: str
@@ -34,7 +38,7 @@
 
 
 class Call:
-    """What a caller sent and what it was told."""
+    """Hold a caller's request and the result that it got."""
 
     def __init__(self, note, node, operation):
         self.note = note
@@ -49,14 +53,14 @@
 
 
 def make_key(time, rng):
-    """Return a UUIDv7 (RFC 9562, 5.7) for a Unix time."""
+    """Return a UUIDv7 (RFC 9562, 5.7) for a Unix time in seconds."""
     high = int(time * 1000) << 16 | 7 << 12 | rng.getrandbits(12)
     low = 2 << 62 | rng.getrandbits(62)
     return str(uuid.UUID(int=high << 64 | low))
 
 
 def read_stamp(value):
-    """Read the values of these tests: a revision and an operation."""
+    """Return the Stamp in a value such as ``3 op-3``: revision and operation."""
     try:
         revision, operation = value.split()
         return Stamp(int(revision), operation)
@@ -65,76 +69,82 @@
 
 
 class Store:
-    """A counting key-value store that can be down, be slow and lose answers."""
+    """A key-value store that counts calls and can be down, slow or lose replies."""
 
     def __init__(self, world):
         self.world = world
         self.records = {}
         self.versions = itertools.count(1)
         self.leases = {}
-        self.waiting = []
+        self.watches = []
         self.counts = {}
         self.faults = {}
 
-    def has(self, fault):
-        """Return the fault's value while it lasts, else None."""
+    def get_fault(self, fault):
+        """Return the value of an active fault, else None."""
         until, value = self.faults.get(fault, (0.0, None))
         return value if self.world.now < until else None
 
     def call(self, node, request, reply):
-        """Take a request; ``reply`` hears the answer or Unanswered."""
+        """Accept a request; ``reply`` is called with the reply or Unanswered."""
         name = type(request).__name__
         self.counts[name] = self.counts.get(name, 0) + 1
-        later, lost = self.world.later, m.Unanswered()
+        later, unanswered = self.world.later, m.Unanswered()
         if self.cut_off(node):
-            return later(STORE_WAIT, reply, lost)
-        if self.has("down"):
-            return later(0.005, reply, lost)
-        if self.has("drops") and name == "Write":
-            return later(STORE_WAIT, reply, lost)
-        delay = 0.001 * self.world.rng.uniform(0.5, 1.5) + (self.has("slow") or 0.0)
-        delay += (self.has("delays") or 0.0) if name == "Write" else 0.0
-        losing = self.has("loses") and name == "Write"
-        if delay > STORE_WAIT or losing:
-            later(STORE_WAIT, reply, lost)
+            return later(STORE_TIMEOUT, reply, unanswered)
+        if self.get_fault("down"):
+            return later(0.005, reply, unanswered)
+        if self.get_fault("drops") and name == "Write":
+            return later(STORE_TIMEOUT, reply, unanswered)
+        delay = 0.001 * self.world.rng.uniform(0.5, 1.5) + (
+            self.get_fault("slow") or 0.0
+        )
+        delay += (self.get_fault("delays") or 0.0) if name == "Write" else 0.0
+        loses_reply = self.get_fault("loses") and name == "Write"
+        if delay > STORE_TIMEOUT or loses_reply:
+            later(STORE_TIMEOUT, reply, unanswered)
             reply = lambda _: None
 
-        def answer(got):
+        def answer(found):
             cut_off = self.cut_off(node)
-            later(STORE_WAIT if cut_off else 0.001, reply, lost if cut_off else got)
+            later(
+                STORE_TIMEOUT if cut_off else 0.001,
+                reply,
+                unanswered if cut_off else found,
+            )
 
         return later(delay, self.serve, request, answer)
 
     def cut_off(self, node):
-        """Return whether nothing passes between a node and the store."""
-        return bool({node.name, node.zone} & self.world.islands)
+        """Return whether a node can't reach the store."""
+        return bool({node.name, node.zone} & self.world.partitions)
 
     def serve(self, request, reply):
-        """Carry a request out at the time that it reaches the store."""
+        """Process a request when it reaches the store."""
         now = self.world.now
         for lease in [name for name, until in self.leases.items() if until <= now]:
             del self.leases[lease]
-            lapsed = [k for k, got in self.records.items() if got[2] == lease]
-            for key in lapsed:
+            expired_keys = [k for k, found in self.records.items() if found[2] == lease]
+            for key in expired_keys:
                 del self.records[key]
         if isinstance(request, m.Watch):
-            self.waiting.append((request, now + request.wait, reply))
-            return self.wake()
+            self.watches.append((request, now + request.wait, reply))
+            return self.answer_watches()
         return reply(getattr(self, f"_{type(request).__name__.lower()}")(request))
 
-    def wake(self):
-        """Answer the watches that have seen something new or waited long enough."""
-        waiting, self.waiting = self.waiting, []
+    def answer_watches(self):
+        """Reply to the watches whose key has changed or whose wait is over."""
+        waiting, self.watches = self.watches, []
         for watch, until, reply in waiting:
             found = self.records.get(watch.key)
-            if self.has("down"):
+            if self.get_fault("down"):
                 reply(m.Unanswered())
             elif found and found[1] > watch.after:
                 reply(m.Found(*found[:2]))
             elif self.world.now >= until:
                 reply(m.Missing())
             else:
-                self.waiting.append((watch, until, reply))
+                self.watches.append((watch, until, reply))
 
     def _read(self, request):
         found = self.records.get(request.key)
@@ -148,7 +158,7 @@
             return m.Rejected(value, version)
         version = next(self.versions)
         self.records[request.key] = request.value, version, request.lease
-        self.wake()
+        self.answer_watches()
         return m.Written(version)
 
     def _grant(self, request):
@@ -164,183 +174,185 @@
 
 
 class Node:
-    """An entry instance: its core, and an edge that may freeze or die."""
+    """An entry instance: its cores, and a simulated process that may freeze or die."""
 
     def __init__(self, world, name, zone):
         self.world = world
         self.name = name
         self.zone = zone
-        self.boots = 0
+        self.boot_count = 0
         self.alive = False
         self.frozen = False
         self.pause = 0.0
-        self.inbox = []
+        self.deferred = []
         self.calls = {}
 
     def boot(self):
-        """Start with nothing known."""
+        """Start or restart without any state."""
         world = self.world
         if self.alive:
             world.kill(self.name)
-        self.boots += 1
-        self.alive, self.frozen, self.inbox, self.calls = True, False, [], {}
+        self.boot_count += 1
+        self.alive, self.frozen, self.deferred, self.calls = True, False, [], {}
         self.ledger = Ledger(world.cfg, self.name)
         self.revisions = Revisions(
             RevisionSettings(),
             self.name,
             read_stamp,
-            random.Random(world.spread_rng.random()),
+            random.Random(world.gossip_rng.random()),
         )
         self.published = 0
         self.holder = o.Holder(o.OrderSettings(), self.name, self.zone, "pool")
         self.operations = itertools.count()
         world.enlist(self)
-        world.relist()
-        self.act(self.revisions.start(world.now))
-        for peer in world.others(self):
+        world.update_list()
+        self.apply_actions(self.revisions.start(world.now))
+        for peer in world.list_others(self):
             world.exchange(self, peer)
-        self.tick(self.boots)
-        self.gossip(self.boots)
+        self.tick(self.boot_count)
+        self.exchange_values(self.boot_count)
 
-    def on(self, boot, method, *args):
-        """Run something on this node: later if frozen, never if it restarted."""
-        if not self.alive or boot != self.boots:
+    def run(self, boot, method, *args):
+        """Call a method on this node: later if frozen, never if it has restarted."""
+        if not self.alive or boot != self.boot_count:
             return
         if self.frozen:
-            self.inbox.append((boot, method, *args))
+            self.deferred.append((boot, method, *args))
             return
         method(*args)
 
-    def thaw(self):
-        """Go on with all that has come in."""
+    def resume(self):
+        """End a freeze and process all deferred calls."""
         self.frozen = False
-        inbox, self.inbox = self.inbox, []
-        for item in inbox:
-            self.on(*item)
+        deferred, self.deferred = self.deferred, []
+        for item in deferred:
+            self.run(*item)
 
     def tick(self, boot):
-        """Give the core its tick, and see what is in force."""
+        """Tick the cores and record the revision in force."""
         now = self.world.now
-        for part in (self.ledger, self.revisions, self.holder):
-            self.act(part.tick(now))
+        for core in (self.ledger, self.revisions, self.holder):
+            self.apply_actions(core.tick(now))
         if self.revisions.explain_not_ready() is None:
             revision = self.revisions.stamp.revision
             self.world.in_force.append((now, self.name, revision))
-        self.world.later(TICK, self.on, boot, self.tick, boot)
+        self.world.later(TICK, self.run, boot, self.tick, boot)
 
-    def gossip(self, boot):
-        """Exchange values with one instance picked at random, as digests lead to."""
+    def exchange_values(self, boot):
+        """Exchange values with a random instance, as the membership does by digests."""
         world = self.world
-        if others := world.others(self):
-            world.exchange(self, world.spread_rng.choice(others))
-        world.later(EXCHANGE_EVERY, self.on, boot, self.gossip, boot)
+        if others := world.list_others(self):
+            world.exchange(self, world.gossip_rng.choice(others))
+        world.later(EXCHANGE_INTERVAL, self.run, boot, self.exchange_values, boot)
 
-    def act(self, actions):
-        """Carry out what the core asks for."""
+    def apply_actions(self, actions):
+        """Perform the actions that a core returned."""
         for action in actions:
             ACTIONS.get(type(action), lambda *_: None)(self, action)
 
-    def take(self, part, method, *args):
-        """Hand an input to one part of the core."""
-        self.act(getattr(part, method)(*args, self.world.now))
+    def call_core(self, core, method, *args):
+        """Call a method of a core with the current time and perform its actions."""
+        self.apply_actions(getattr(core, method)(*args, self.world.now))
 
     def send(self, call, key, fingerprint):
-        """Take a caller's keyed request."""
-        call.operation = f"{self.name}.{self.boots}.{next(self.operations)}"
+        """Accept a caller's request with its idempotency key."""
+        call.operation = f"{self.name}.{self.boot_count}.{next(self.operations)}"
         self.calls[call.operation] = call
         args = call.operation, key, fingerprint
-        self.take(self.ledger, "claim", *args)
+        self.call_core(self.ledger, "claim", *args)
 
     def finish(self, call, body):
-        """Answer the caller with what the service said."""
+        """Send the service's response to the caller and record the outcome."""
         if call.kind is None:
             call.kind, call.body = "ran", body
-        self.take(self.ledger, "settle", call.operation, Outcome(200, body))
+        self.call_core(self.ledger, "settle", call.operation, Outcome(200, body))
 
     def _store(self, action):
-        def reply(got):
-            self.on(boot, self.take, self.part_of(token), "receive", token, got)
+        def reply(found):
+            self.run(
+                boot, self.call_core, self.find_core(token), "receive", token, found
+            )
 
         token, request = action
-        boot = self.boots
+        boot = self.boot_count
         self.world.store.call(self, request, reply)
 
-    def part_of(self, token):
-        """Return the part of the core that a token belongs to."""
+    def find_core(self, token):
+        """Return the core that a store call's token belongs to."""
         kind = token.split("-")[0]
         return {"claims": self.ledger, "revisions": self.revisions}.get(
             kind, self.holder
         )
 
     def _forward(self, action):
-        self.world.carry(self, action)
+        self.world.forward(self, action)
 
-    def hear(self, sender, message):
-        """Take a message of a peer."""
-        self.take(self.ledger, "hear", sender, message)
+    def receive_message(self, sender, message):
+        """Handle a message from another instance."""
+        self.call_core(self.ledger, "hear", sender, message)
 
-    def _adopted(self, action):
-        # The membership makes a rumour only of a number above the one it holds.
+    def _on_adopted(self, action):
+        # The membership spreads only a revision newer than the one it holds.
         if action.stamp.revision > self.published:
             self.published = action.stamp.revision
-            for peer in self.world.others(self):
-                self.world.bring(self, peer)
+            for peer in self.world.list_others(self):
+                self.world.send_value(self, peer)
 
-    def _granted(self, action):
+    def _on_granted(self, action):
         call = self.calls[action.operation]
         if not self.ledger.may_start(action.operation, self.world.now):
             return
         # A pause may fall between the check and the send.
-        self._pause()
-        self.world.later(0.001, self.on, self.boots, self.world.serve, self, call)
+        self._apply_pause()
+        self.world.later(0.001, self.run, self.boot_count, self.world.serve, self, call)
 
-    def _pause(self):
+    def _apply_pause(self):
         pause, self.pause = self.pause, 0.0
         if pause:
             self.world.freeze(self.name, pause)
 
-    def _recorded(self, action):
+    def _on_recorded(self, action):
         call = self.calls[action.operation]
         call.kind, call.body = "recorded", action.outcome.body
 
-    def _refused(self, action):
+    def _on_refused(self, action):
         call = self.calls[action.operation]
         call.kind, call.told = action.failure.type, action.failure.outcome
         call.told_at = self.world.now
 
-    def _order(self, action):
-        boot, world = self.boots, self.world
+    def _on_order(self, action):
+        boot, world = self.boot_count, self.world
         if world.now < action.send_before:
-            self._pause()
-            world.later(0.001, self.on, boot, world.obey, self, action)
+            self._apply_pause()
+            world.later(0.001, self.run, boot, world.apply_order, self, action)
 
-    def _order_refused(self, action):
+    def _on_order_refused(self, action):
         self.world.orders_refused.append((action.order_id, action.failure.type))
 
 
 ACTIONS = {
     m.StoreCall: Node._store,
     m.Forward: Node._forward,
-    ClaimGranted: Node._granted,
-    ClaimRecorded: Node._recorded,
-    ClaimRefused: Node._refused,
-    Adopted: Node._adopted,
-    o.OrderSend: Node._order,
-    o.OrderRefused: Node._order_refused,
+    ClaimGranted: Node._on_granted,
+    ClaimRecorded: Node._on_recorded,
+    ClaimRefused: Node._on_refused,
+    Adopted: Node._on_adopted,
+    o.OrderSend: Node._on_order,
+    o.OrderRefused: Node._on_order_refused,
 }
 
 
 class World:
-    """Everything in one scenario, on a simulated clock."""
+    """The state of a scenario, on a simulated clock."""
 
     def __init__(self, seed=1, cfg=None):
         self.cfg = cfg or ClaimSettings()
         self.rng = random.Random(seed)
-        # One of its own: how values spread must not change the keys of the notes.
-        self.spread_rng = random.Random(f"spread-{seed}")
+        # A separate generator, so that the spread of values doesn't change the keys.
+        self.gossip_rng = random.Random(f"spread-{seed}")
         self.now = EPOCH
         self.events = []
-        self.order = itertools.count()
+        self.event_ids = itertools.count()
         self.store = Store(self)
         self.nodes = {}
         self.listed = {}
@@ -348,91 +360,91 @@
         self.calls = []
         self.effects = []
         self.in_force = []
-        self.islands = set()
+        self.partitions = set()
         self.work = 0.2
         self.engines = {}
         self.obeyed = []
         self.orders_refused = []
 
-    def later(self, delay, act, *args):
-        """Run something after a delay in seconds."""
-        entry = (self.now + delay, next(self.order), act, args)
+    def later(self, delay, function, *args):
+        """Call a function after a delay in seconds."""
+        entry = (self.now + delay, next(self.event_ids), function, args)
         heapq.heappush(self.events, entry)
 
     def run(self, seconds):
-        """Let simulated time pass."""
+        """Simulate a number of seconds."""
         end = self.now + seconds
-        self.later(0.0, self._watch_store, end)
+        self.later(0.0, self._poll_store, end)
         while self.events and self.events[0][0] <= end:
-            self.now, _, act, args = heapq.heappop(self.events)
-            act(*args)
+            self.now, _, function, args = heapq.heappop(self.events)
+            function(*args)
         self.now = end
 
-    def _watch_store(self, end):
-        self.store.wake()
+    def _poll_store(self, end):
+        self.store.answer_watches()
         if self.now < end:
-            self.later(0.1, self._watch_store, end)
+            self.later(0.1, self._poll_store, end)
 
     def start(self):
-        """Start all instances; the list shows them."""
+        """Start all instances, which are already on the list."""
         self.listed = {node.name: node.zone for node in self.nodes.values()}
         for node in self.nodes.values():
             node.boot()
 
-    def relist(self):
-        """Show a change of the live instances to all, late."""
-        self.later(LIST_LAG, self._refresh)
+    def update_list(self):
+        """Publish the list of live instances after its lag."""
+        self.later(LIST_LAG, self._publish_list)
 
-    def _refresh(self):
+    def _publish_list(self):
         live = [node for node in self.nodes.values() if node.alive]
         self.listed = {node.name: node.zone for node in live}
         for node in live:
             self.enlist(node)
 
     def enlist(self, node):
-        """Show an instance the list."""
-        mates = [name for name, zone in self.listed.items() if zone == node.zone]
+        """Pass the listed instances to the cores of a node."""
+        zone_members = [name for name, zone in self.listed.items() if zone == node.zone]
         node.ledger.enlist(self.listed)
         node.revisions.enlist(self.listed)
-        node.holder.enlist(mates)
+        node.holder.enlist(zone_members)
 
-    def carry(self, node, action):
-        """Bring a message to another instance, unless a cut is in between."""
+    def forward(self, node, action):
+        """Deliver a message to another instance, unless a partition separates them."""
         peer = self.nodes[action.instance]
-        if self.reaches(node, peer):
+        if self.can_reach(node, peer):
             delay = 0.0015 * self.rng.uniform(0.7, 2.0)
             args = node.name, action.message
-            self.later(delay, peer.on, peer.boots, peer.hear, *args)
+            self.later(delay, peer.run, peer.boot_count, peer.receive_message, *args)
 
-    def reaches(self, node, peer):
-        """Tell whether something sent now arrives: no cut, and the other end lives."""
-        far = {node.zone, peer.zone} & self.islands and node.zone != peer.zone
+    def can_reach(self, node, peer):
+        """Return whether ``peer`` is alive and no partition separates the two."""
+        cut_off = {node.zone, peer.zone} & self.partitions and node.zone != peer.zone
         pair = frozenset([node.name, peer.name])
-        return peer.alive and not far and pair not in self.islands
+        return peer.alive and not cut_off and pair not in self.partitions
 
-    def others(self, node):
-        """Return the other instances, whether they are reachable or not."""
+    def list_others(self, node):
+        """Return the other instances, reachable or not."""
         return [peer for peer in self.nodes.values() if peer is not node]
 
     def exchange(self, node, peer):
-        """Bring each of two instances the value of the other."""
-        self.bring(node, peer)
-        self.bring(peer, node)
-
-    def bring(self, node, peer):
-        """Bring an instance's value to another, as the membership does."""
-        delay = SPREAD * self.spread_rng.uniform(0.2, 1.0)
-        self.later(delay, node.on, node.boots, self._bring, node, peer)
-
-    def _bring(self, node, peer):
-        # Older values come too, which the membership itself would leave out: that
-        # the core never goes back must not hang on that.
-        if node.revisions.value and self.reaches(node, peer):
-            args = peer.take, peer.revisions, "hear", node.revisions.value
-            peer.on(peer.boots, *args)
+        """Send each of two instances the value of the other."""
+        self.send_value(node, peer)
+        self.send_value(peer, node)
+
+    def send_value(self, node, peer):
+        """Send a node's value to a peer after a delay, as the membership does."""
+        delay = MAX_VALUE_DELAY * self.gossip_rng.uniform(0.2, 1.0)
+        self.later(delay, node.run, node.boot_count, self._deliver_value, node, peer)
+
+    def _deliver_value(self, node, peer):
+        # Older values are delivered too, although the membership would not send them:
+        # the core must never put an older revision in force by itself.
+        if node.revisions.value and self.can_reach(node, peer):
+            args = peer.call_core, peer.revisions, "hear", node.revisions.value
+            peer.run(peer.boot_count, *args)
 
     def send(self, note, name, altered=False, age=0.0):
-        """Send a caller's note to an instance; its key stays the same."""
+        """Send a note to an instance, with the same key each time."""
         if note not in self.keys:
             self.keys[note] = make_key(self.now - age, self.rng)
         node = self.nodes[name]
@@ -444,16 +456,16 @@
             return
         key = ClaimKey("andesur", self.keys[note])
         fingerprint = f"{note}{'!' if altered else ''}"
-        node.on(node.boots, node.send, call, key, fingerprint)
+        node.run(node.boot_count, node.send, call, key, fingerprint)
 
     def serve(self, node, call):
-        """Run a note on the recording service."""
+        """Run a note on the service and record the effect."""
         self.effects.append(Effect(self.now, call.note, call.operation))
         body = f"{call.note} bound by {call.operation}"
-        self.later(self.work, node.on, node.boots, node.finish, call, body)
+        self.later(self.work, node.run, node.boot_count, node.finish, call, body)
 
-    def obey(self, node, send):
-        """Bring an order to its engine, and the engine's answer back."""
+    def apply_order(self, node, send):
+        """Deliver an order to its engine, and the engine's reply to the node."""
         name = send.order.upstream.name
         newest = max([0, *(o[3] for o in self.obeyed if o[1] == name)])
         if send.order.upstream.fenced and send.fence < newest:
@@ -461,52 +473,55 @@
         else:
             self.obeyed.append((self.now, name, send.order_id, send.fence))
             args = (send.order_id,)
-        answer = lambda: node.act(node.holder.finish(*args))
-        self.later(0.002, node.on, node.boots, answer)
+        answer = lambda: node.apply_actions(node.holder.finish(*args))
+        self.later(0.002, node.run, node.boot_count, answer)
 
     def give_order(self, name, what, engine):
-        """Let an operator's order come up on one instance."""
+        """Pass an operator's order to one instance."""
         node = self.nodes[name]
         order = o.Order("load", self.engines[engine], what)
         args = o.name_order(1, order), order
-        node.on(node.boots, node.take, node.holder, "order", *args)
+        node.run(node.boot_count, node.call_core, node.holder, "order", *args)
 
     def add_engine(self, name, zone, fenced=True):
-        """Set an engine up."""
+        """Add an engine."""
         address = Address("127.0.0.1", 1)
         self.engines[name] = Upstream(
             name, "model", "pool", address, zone, fenced=fenced
         )
 
     def freeze(self, name, seconds):
-        """Stop an instance, its process unaware, and let it go on later."""
+        """Suspend an instance's process for some seconds."""
         node = self.nodes[name]
         if node.alive and not node.frozen:
             node.frozen = True
-            self.later(seconds, node.thaw)
+            self.later(seconds, node.resume)
 
     def kill(self, name):
-        """End an instance with all that it knows."""
+        """Kill an instance, with all its state."""
         node = self.nodes[name]
         node.alive = False
         for call in self.calls:
             if call.node == name and call.kind is None:
                 call.cut = True
-        self.relist()
+        self.update_list()
 
     def cut(self, what, seconds):
-        """Cut a zone off from the others and the store, or an instance from it."""
-        self.islands.add(what)
-        self.later(seconds, self.islands.discard, what)
+        """Cut off a zone from the others and the store, or an instance from the store.
+
+        A frozenset of two instances cuts them off from each other.
+        """
+        self.partitions.add(what)
+        self.later(seconds, self.partitions.discard, what)
 
     def publish_next(self):
         """Write the revision after the newest."""
-        newest = self.store.records.get(CONFIGURATION, ("0 none",))[0]
+        newest = self.store.records.get(CONFIG_KEY, ("0 none",))[0]
         self.publish(read_stamp(newest).revision + 1)
 
     def publish(self, revision):
         """Write a revision into the store, as an operator does."""
         version = next(self.store.versions)
         value = f"{revision} op-{revision}"
-        self.store.records[CONFIGURATION] = value, version, None
-        self.store.wake()
+        self.store.records[CONFIG_KEY] = value, version, None
+        self.store.answer_watches()
