--- a/src/chervilwing/checks.py
+++ b/src/chervilwing/checks.py
@@ -55,7 +55,7 @@
     for item in inventory.upstreams:
         owner = owners.setdefault(item.address, item.name)
         if owner != item.name:
-            fail(f"upstreams.{item.name}.address", f"upstream {owner!r} has it too")
+            fail(f"upstreams.{item.name}.address", f"also used by upstream {owner!r}")
 
 
 def _check_pools(inventory, rules, kinds):
@@ -108,7 +108,7 @@
             fail(f"fleets.{item.name}.pool", f"no pool {item.pool!r}")
         owner = owners.setdefault(item.pool, item.name)
         if owner != item.name:
-            fail(f"fleets.{item.name}.pool", f"fleet {owner!r} has it too")
+            fail(f"fleets.{item.name}.pool", f"also used by fleet {owner!r}")
 
 
 def _check_customers(inventory, rules):
--- a/src/chervilwing/membership.py
+++ b/src/chervilwing/membership.py
@@ -279,7 +279,7 @@
     def _on_hello(self, peer, body, now):
         item = from_wire(body)
         if type(item) is not Record:
-            raise BadFrame("a stream starts with the record of its opener")
+            raise BadFrame("a hello must carry a record")
         return self._accept([item], peer, now, spread=True)
 
     def _on_ping(self, peer, body, now):
--- a/src/chervilwing/messages.py
+++ b/src/chervilwing/messages.py
@@ -2,6 +2,7 @@
 
 from typing import NamedTuple
 
+# The version of a key that doesn't exist.
 ABSENT = 0
 
 
--- a/src/chervilwing/transfer.py
+++ b/src/chervilwing/transfer.py
@@ -30,7 +30,7 @@
         self._cfg = cfg
         self._budget = Budget(cfg.transfer_rate, cfg.transfer_burst)
         self._newest = None
-        self._packed = b""
+        self._compressed = b""
         self._pending = None
 
     def refill(self, now):
@@ -43,7 +43,7 @@
 
     def value(self):
         """Return the value of the newest revision, or None."""
-        return None if self._newest is None else zlib.decompress(self._packed)
+        return None if self._newest is None else zlib.decompress(self._compressed)
 
     def store_value(self, number, value):
         """Store a value unless a newer one is held; return the newest revision.
@@ -55,8 +55,10 @@
                 f"a configuration of {len(value)} bytes is over {MAX_VALUE_BYTES}"
             )
         if self._is_newer(number):
-            packed = zlib.compress(value)
-            self._store(Revision(number, len(packed), digest(packed)), packed)
+            compressed = zlib.compress(value)
+            self._store(
+                Revision(number, len(compressed), digest(compressed)), compressed
+            )
         return self._newest
 
     def record_offer(self, revision, peer, now):
@@ -87,9 +89,13 @@
         budget is used up.
         """
         held = self._newest is not None and self._newest.number == number
-        if not held or offset >= len(self._packed) or not self._budget.is_above(0.0):
+        if (
+            not held
+            or offset >= len(self._compressed)
+            or not self._budget.is_above(0.0)
+        ):
             return None
-        chunk = self._packed[offset : offset + CHUNK_BYTES]
+        chunk = self._compressed[offset : offset + CHUNK_BYTES]
         self._budget.spend(len(chunk))
         return [number, offset, chunk]
 
@@ -113,21 +119,21 @@
         return self._finish(pending), None
 
     def _finish(self, pending):
-        packed = bytes(pending.data)
+        compressed = bytes(pending.data)
         self._pending = None
-        whole = len(packed) == pending.revision.size
-        if not whole or digest(packed) != pending.revision.digest:
+        whole = len(compressed) == pending.revision.size
+        if not whole or digest(compressed) != pending.revision.digest:
             raise BadFrame(f"value of revision {pending.revision.number} is damaged")
-        _check_packed(packed)
-        self._store(pending.revision, packed)
+        _check_compressed(compressed)
+        self._store(pending.revision, compressed)
         return pending.revision
 
     def _is_newer(self, number):
         return self._newest is None or number > self._newest.number
 
-    def _store(self, revision, packed):
+    def _store(self, revision, compressed):
         self._newest = revision
-        self._packed = packed
+        self._compressed = compressed
         if self._pending and not self._is_newer(self._pending.revision.number):
             self._pending = None
 
@@ -138,12 +144,12 @@
     return body
 
 
-def _check_packed(packed):
+def _check_compressed(compressed):
     # A few kilobytes can decompress to gigabytes; without the limit a faulty peer could
     # use up the memory.
     stream = zlib.decompressobj()
     try:
-        value = stream.decompress(packed, MAX_VALUE_BYTES + 1)
+        value = stream.decompress(compressed, MAX_VALUE_BYTES + 1)
     except zlib.error as exc:
         raise BadFrame(f"value is not compressed: {exc}") from exc
     if len(value) > MAX_VALUE_BYTES or not stream.eof:
--- a/src/chervilwing/views.py
+++ b/src/chervilwing/views.py
@@ -49,9 +49,9 @@
             self._avoided_until,
         ):
             state.pop(peer, None)
-        healed = self.is_cut_off(data_centre)
+        was_cut_off = self.is_cut_off(data_centre)
         self._failed_links.pop(data_centre, None)
-        return healed
+        return was_cut_off
 
     def record_probe(self, peer, now):
         """Record a probe of a peer, unless one is still unanswered."""
@@ -141,11 +141,11 @@
         for peer in self._links:
             if peer in by_address:
                 counts[self._distance(by_address[peer])] += 1
-        free = [record for record in records if self._is_linkable(record, now)]
-        self._rng.shuffle(free)
+        linkable = [record for record in records if self._is_linkable(record, now)]
+        self._rng.shuffle(linkable)
         added = []
         for quotas in (self._cfg.quotas, (self._cfg.links,) * len(counts)):
-            for record in free:
+            for record in linkable:
                 distance = self._distance(record)
                 full = len(self._links) >= self._cfg.links
                 if full or record.address in self._links:
--- a/tests/explorer.py
+++ b/tests/explorer.py
@@ -9,6 +9,7 @@
     shards=2, run_limit=8.0, skew=1.0, slot=2.0, ring=24, window=40.0
 )
 ZONES = {"one": "a", "two": "a", "three": "b", "four": "b", "five": "c"}
+# Simulated seconds with random faults, then without.
 FAULT_SECONDS = 80.0
 RECOVERY_SECONDS = 20.0
 NOTE_COUNT = 15
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -383,9 +383,9 @@
             except BadFrame:
                 continue
 
-    def offer(self, packed, claimed=None):
+    def offer(self, compressed, claimed=None):
         """Announce a value to the instance, which must fetch it."""
-        revision = Revision(3, len(packed), digest(claimed or packed))
+        revision = Revision(3, len(compressed), digest(claimed or compressed))
         push = Frame("push", [to_wire(revision)])
         (fetch,) = self.node.receive(self.peer, push, self.fleet.now)
         self.assertEqual(Decoder().feed(fetch.data), (Frame("fetch", [3, 0]),))
@@ -401,27 +401,27 @@
         self.assertEqual(self.node.revision(), 0)
 
     def test_value_that_decompresses_over_the_limit_is_refused(self):
-        packed = zlib.compress(bytes(MAX_VALUE_BYTES + 1))
-        self.offer(packed)
+        compressed = zlib.compress(bytes(MAX_VALUE_BYTES + 1))
+        self.offer(compressed)
         with self.assertRaises(BadFrame):
-            self.deliver(0, packed)
+            self.deliver(0, compressed)
         self.assertIsNone(self.node.value())
 
     def test_value_with_a_wrong_digest_is_refused(self):
-        value, other_value = (zlib.compress(letter * 100) for letter in (b"a", b"b"))
-        self.assertEqual(len(value), len(other_value))
-        revision = self.offer(value)
+        compressed, other = (zlib.compress(letter * 100) for letter in (b"a", b"b"))
+        self.assertEqual(len(compressed), len(other))
+        revision = self.offer(compressed)
         with self.assertRaises(BadFrame):
-            self.deliver(0, other_value)
+            self.deliver(0, other)
         self.assertIsNone(self.node.value())
-        self.offer(value)
-        self.assertEqual(self.deliver(0, value), (Heard(revision, b"a" * 100),))
+        self.offer(compressed)
+        self.assertEqual(self.deliver(0, compressed), (Heard(revision, b"a" * 100),))
 
     def test_duplicate_chunk_is_ignored(self):
         value = random.Random(2).randbytes(2 * CHUNK_BYTES)
-        packed = zlib.compress(value)
-        revision = self.offer(packed)
-        first, rest = packed[:CHUNK_BYTES], packed[CHUNK_BYTES:]
+        compressed = zlib.compress(value)
+        revision = self.offer(compressed)
+        first, rest = compressed[:CHUNK_BYTES], compressed[CHUNK_BYTES:]
         self.assertIsInstance(self.deliver(0, first)[0], Send)
         self.assertEqual(self.deliver(0, first), ())
         for start in range(0, len(rest), CHUNK_BYTES):
