--- a/src/chervilwing/peers.py
+++ b/src/chervilwing/peers.py
@@ -81,7 +81,7 @@
         """Call ``on_message`` with the sender's name for messages of these types."""
         self._kinds |= {kind.__name__: (kind, on_message) for kind in kinds}
 
-    def learn(self, name, address):
+    def record_address(self, name, address):
         """Record the address at which an instance accepts peers."""
         self._addresses[name] = address
 
@@ -103,7 +103,7 @@
             if isinstance(action, Send):
                 self._send(action.peer, action.data)
             elif isinstance(action, Heard):
-                self._learn_address(action.item)
+                self._record_address_of(action.item)
                 self._on_item(action)
 
     @handler("tick", channel="*")
@@ -114,9 +114,9 @@
             if now - stream.used_at > IDLE_TIMEOUT:
                 self._streams.drop(stream.conn)
 
-    def _learn_address(self, item):
+    def _record_address_of(self, item):
         if isinstance(item, Record):
-            self.learn(item.name, item.address)
+            self.record_address(item.name, item.address)
 
     def _send(self, address, data):
         stream = self._by_address.get(address)
@@ -171,7 +171,7 @@
         if not isinstance(record, Record):
             raise BadFrame("A hello carries a record.")
         stream.name = record.name
-        self.learn(record.name, record.address)
+        self.record_address(record.name, record.address)
         if stream.address is None:
             stream.address = record.address
             self._by_address.setdefault(record.address, stream)
