--- a/src/chervilwing/claim_writer.py
+++ b/src/chervilwing/claim_writer.py
@@ -58,8 +58,9 @@
 
 
 class Cell:
-    """Cache one stored segment; it must be read while ``segment`` is None.
+    """Cache one stored segment.
 
+    While ``segment`` is None it isn't known and has to be read from the store.
     ``draft`` is the segment being written and its size in bytes. ``uncertain_version``
     is the expected version of a write that got no reply and may still take effect.
     """
@@ -129,7 +130,7 @@
         queued = Queued(ask, asker, due, now + self.cfg.claim_timeout)
         cell.queue[ask.operation, ask.kind] = queued
         self._active[cell.name] = cell
-        return self._advance(cell, now)
+        return self._process_cell(cell, now)
 
     def receive(self, token, reply, now):
         """Handle the reply to a store call; return more calls and answers."""
@@ -144,7 +145,7 @@
         self._unanswered = 0
         was_down, self.down = self.down, False
         cells = list(self._active.values()) if was_down else [cell]
-        return _flatten(self._advance(cell, now) for cell in cells)
+        return _flatten(self._process_cell(cell, now) for cell in cells)
 
     def tick(self, now):
         """Write due asks, probe a store that is down, drop idle cells."""
@@ -153,7 +154,7 @@
         if self.down:
             return self._probe(now)
         cells = list(self._active.values())
-        actions = _flatten(self._advance(cell, now) for cell in cells)
+        actions = _flatten(self._process_cell(cell, now) for cell in cells)
         return actions + _flatten(
             self._write_waiting(shard, now) for shard in self._waiting
         )
@@ -166,7 +167,7 @@
         cell.used_at = now
         return cell
 
-    def _advance(self, cell, now):
+    def _process_cell(self, cell, now):
         if cell.call is not None or self.down:
             return ()
         if cell.queue and self._must_read(cell, now):
@@ -188,11 +189,11 @@
     def _write_waiting(self, shard, now):
         """Write the waiting cells of a shard while its write rate allows.
 
-        At peak load each second's cell of the last half minute has outcomes to write.
-        In order of arrival, a claim would wait behind them for longer than its caller
-        does; with claims first, outcomes would never be written. So cells with claims
-        and cells without alternate, and each kind gets half of the writes while both
-        wait.
+        At peak load a shard has outcomes to write into some 30 cells, one for each time
+        slot of the last half minute. If cells were written in order of arrival, a new
+        claim would time out behind them; if claims always came first, outcomes would
+        never be written. So cells with claims and cells without are written in turn,
+        and each kind gets half of the writes while both kinds wait.
         """
         actions = []
         while cell := self._pick_waiting(shard):
@@ -261,7 +262,7 @@
         return (*answers, self._send(cell, Write(cell.name, value, cell.version)))
 
     def _take_write_permit(self, shard, now):
-        """Take a write from the shard's rate limit; return False until one is due.
+        """Count a write against the shard's rate limit; return False if over the limit.
 
         Without the limit each keyed request of the fleet would be a write, and at peak
         load the store would refuse them all. Instead claims wait for the next batch of
@@ -293,7 +294,7 @@
             cell.uncertain_version = call.expect
         self._unanswered += 1
         if self._unanswered < self.cfg.max_unanswered:
-            return self._advance(cell, now)
+            return self._process_cell(cell, now)
         self.down = True
         self._probe_at = now + self.cfg.probe_interval
         return self._decline_all()
--- a/src/chervilwing/claimant.py
+++ b/src/chervilwing/claimant.py
@@ -18,7 +18,7 @@
 
 
 def encode_outcome(status, content_type, body):
-    """Return the outcome to record for a response, without a body that isn't UTF-8."""
+    """Return the outcome to record for a response; a non-UTF-8 body is left out."""
     try:
         text = body.decode()
     except UnicodeDecodeError:
@@ -45,7 +45,7 @@
         self._ledger.enlist(names)
 
     def is_idle(self):
-        """Return whether no outcome waits to be recorded.
+        """Return whether no ask is pending and no claimed request is running.
 
         A shutdown waits for this, so that no outcome is lost.
         """
@@ -68,7 +68,7 @@
         return self._ledger.may_start(session.serial, time.time())
 
     def settle(self, session, status, content_type, body):
-        """Record the response that each repetition of the key gets."""
+        """Record the response that later requests with the same key get."""
         outcome = encode_outcome(status, content_type, body)
         self._apply(self._ledger.settle(session.serial, outcome, time.time()))
 
@@ -96,7 +96,7 @@
         for action in actions:
             APPLIERS[type(action)](self, action)
 
-    def _call(self, action):
+    def _send_store_call(self, action):
         self._store.carry(action, self._on_reply)
 
     def _forward(self, action):
@@ -133,7 +133,7 @@
 
 
 APPLIERS = {
-    StoreCall: Claimant._call,
+    StoreCall: Claimant._send_store_call,
     Forward: Claimant._forward,
     ClaimGranted: Claimant._on_granted,
     ClaimRecorded: Claimant._on_recorded,
--- a/src/chervilwing/claims.py
+++ b/src/chervilwing/claims.py
@@ -55,7 +55,7 @@
 
 
 class ClaimRecorded(NamedTuple):
-    """Report that the key has already run; the caller gets the recorded outcome."""
+    """Report that the request of this key has run; the caller gets its outcome."""
 
     operation: str
     key: ClaimKey
@@ -112,9 +112,10 @@
         self._owners.clear()
 
     def claim(self, operation, key, fingerprint, now):
-        """Request the right to run a key; return actions.
+        """Claim a key, so that its request may be sent; return actions.
 
-        The result is among these actions or those of a later call.
+        The result (ClaimGranted, ClaimRecorded or ClaimRefused) is among these actions
+        or those of a later call.
         """
         try:
             place = locate(self.cfg, key, now)
@@ -131,7 +132,7 @@
         return self._start(ask, now + self.cfg.claim_timeout, now)
 
     def settle(self, operation, outcome, now):
-        """Record the outcome of a granted claim, without a body over the size limit."""
+        """Record the outcome of a granted claim; a body over the limit is left out."""
         ask = self._held.get(operation)
         if ask is None or ask.outcome is not None or now > ask.run_until:
             return ()
@@ -324,7 +325,7 @@
         return (refusal,)
 
     def _abandon(self, ask, now):
-        """Release the key of an ask that never ran; its claim may have been written."""
+        """Release a key whose request was not sent; its claim may have been written."""
         self._unregister(ask)
         ask = self._abandoned[ask.operation] = ask._replace(kind=RELEASE)
         return self._start(ask, ask.run_until, now)
@@ -368,6 +369,9 @@
     EXPIRED: (KeyExpired, "the key is older than the time for which keys are kept"),
     FULL: (ClaimsFull, "the segment of this key is full; use a new key"),
     IN_PROGRESS: (InProgress, "an earlier request with this key is still running"),
-    LOST: (OutcomeUnknown, "the instance that ran this key stopped without an outcome"),
+    LOST: (
+        OutcomeUnknown,
+        "the instance that ran this request stopped without recording an outcome",
+    ),
     REUSED: (KeyReused, "the key was used with a different request before"),
 }
--- a/src/chervilwing/segments.py
+++ b/src/chervilwing/segments.py
@@ -22,12 +22,13 @@
 
 # Above the slot of any key, so that every key counts as older than the segment.
 UNREADABLE_SLOT = 1 << 62
-# Bytes of JSON punctuation and numbers, and the status of an outcome without a body.
+# Estimated JSON bytes of a claim besides its strings: punctuation, numbers, and the
+# status of an outcome whose body was left out.
 CLAIM_OVERHEAD = 96
 
 
 class Outcome(NamedTuple):
-    """Hold the response for a repeated key; ``whole`` is false without its body."""
+    """Hold a key's recorded response; ``whole`` is false if its body was left out."""
 
     status: int
     body: str
@@ -35,7 +36,10 @@
 
 
 class Claim(NamedTuple):
-    """Hold one operation's right to run a key until ``run_until`` (Unix seconds)."""
+    """Reserve a key for the request of one operation.
+
+    The request must end before ``run_until`` (Unix seconds).
+    """
 
     operation: str
     fingerprint: str
@@ -45,14 +49,17 @@
 
 
 class Segment(NamedTuple):
-    """Hold the claims of one slot by key; the slot number of a cell never decreases."""
+    """Hold the claims of one shard and time slot, by key.
+
+    A store cell is reused for later slots, but never overwritten with an earlier one.
+    """
 
     slot: int
     claims: dict[str, Claim]
 
 
 class Ask(NamedTuple):
-    """Ask for a claim to be written, settled or released, according to ``kind``."""
+    """Request that a claim is written, settled or released, according to ``kind``."""
 
     kind: str
     key: ClaimKey
@@ -65,7 +72,10 @@
 
 
 class Verdict(NamedTuple):
-    """Report the result of an ``Ask``; ``until`` (Unix time) ends a running claim."""
+    """Report the result of an ``Ask``.
+
+    ``until`` is the ``run_until`` of the claim that was found, or 0.
+    """
 
     kind: str
     operation: str
@@ -87,7 +97,8 @@
     """Return the segment in a stored value.
 
     A value that can't be decoded counts as a segment newer than any key: its keys are
-    refused and the value is kept. As an empty segment it would let its keys run again.
+    refused and the value is kept. If it counted as empty, requests with its keys could
+    run again.
     """
     try:
         found = json.loads(value)
@@ -163,7 +174,7 @@
     """Return the segment with the asks applied, and the claims that did not fit.
 
     ``free_bytes`` counts bytes of JSON. An outcome that does not fit is recorded
-    without its body, so that the claim still shows that the key has run.
+    without its body, so that the claim still shows that the request has run.
     """
     slot = max([segment.slot, *(ask.place.slot for ask in asks)])
     claims = dict(segment.claims) if segment.slot == slot else {}
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -117,7 +117,7 @@
 
     def test_claim_in_an_unreadable_segment_is_refused(self):
         # Somebody overwrote a segment with garbage, so its claims can't be read.
-        # If it counted as empty, its keys would run again.
+        # If it counted as empty, requests with its keys would run again.
         cell = f"claims/0/{int(NOW // CFG.slot) % CFG.ring}"
         for garbage in ("", "{", "[]", '{"slot":1,"claims":{"k":[1]}}', "null"):
             with self.subTest(value=garbage):
