--- a/src/chervilwing/gossip.py
+++ b/src/chervilwing/gossip.py
@@ -274,10 +274,10 @@
 
 
 class Rumours:
-    """Hold the items that this instance still has to push."""
+    """Hold the items to push; each is pushed ``max_pushes`` times at most."""
 
-    def __init__(self, pushes_left):
-        self._max_pushes = pushes_left
+    def __init__(self, max_pushes):
+        self._max_pushes = max_pushes
         self._rumours = {}
 
     def __len__(self):
@@ -297,8 +297,8 @@
     def select(self, peer, limit):
         """Return at most ``limit`` items to push to a peer, the most urgent first.
 
-        Among equally urgent items, those with the fewest known holders come first: of
-        many items at once, each peer then gets a different part and passes it on.
+        Among equally urgent items, those with the fewest known holders come first.
+        Thus, when there are many items, each peer gets different ones and pushes them.
         """
         eligible = [
             rumour for rumour in self._rumours.values() if peer not in rumour.holders
@@ -331,7 +331,7 @@
 
 
 class Budget:
-    """A token bucket of bytes: ``rate`` a second, at most ``burst`` at once."""
+    """Limit bytes by a token bucket: ``rate`` a second, at most ``burst`` at once."""
 
     def __init__(self, rate, burst):
         self._rate = rate
@@ -346,9 +346,12 @@
         self._refilled_at = now
 
     def is_above(self, reserve):
-        """Return whether more than a part, 0 to 1, of the burst is left."""
+        """Return whether more than ``reserve``, 0 to 1, of the burst is left."""
         return self._available > reserve * self._burst
 
     def spend(self, size):
-        """Remove ``size`` bytes, down to 0: replies to probes are always sent."""
+        """Remove ``size`` bytes, but keep at least 0.
+
+        More can be spent than is left, since probes and their replies are always sent.
+        """
         self._available = max(0.0, self._available - size)
--- a/src/chervilwing/gossip_settings.py
+++ b/src/chervilwing/gossip_settings.py
@@ -6,13 +6,14 @@
 class MembershipSettings(NamedTuple):
     """Configure the gossip; times in seconds, sizes in bytes, rates per second.
 
-    With the defaults, 320 instances in 5 data centres stay under 3 KB a second each,
-    the limit for all control traffic; ``python -m bench.gossip`` measures it.
-    ``quotas`` are the links within the data centre, the region and to other regions. A
-    peer is silent after ``max_missed_probes``, is linked again only after
-    ``relink_delay``, and counts as a neighbour for ``contact_age`` after its last
-    frame. ``sync_reserve`` is the part of the byte budget, 0 to 1, that table
-    synchronisation leaves free.
+    With the defaults, each of 320 instances in 5 data centres stays under 3 KB a
+    second, the limit for all control traffic of an instance; ``python -m bench.gossip``
+    measures it. ``quotas`` are the numbers of links to instances of the same data
+    centre, of other data centres in the region, and of other regions. A linked peer
+    counts as silent after ``max_missed_probes``; its link is dropped and not chosen
+    again for ``relink_delay``, unless the peer sends a frame before. A peer counts as a
+    neighbour for ``contact_age`` after its last frame. ``sync_reserve`` is the part of
+    the byte budget, 0 to 1, that table synchronisation must leave unused.
     """
 
     interval: float = 0.2
--- a/src/chervilwing/membership.py
+++ b/src/chervilwing/membership.py
@@ -29,11 +29,11 @@
 from .transfer import Transfer
 from .views import View
 
-# The IP header and the TCP header with timestamps of a small frame. The byte budget
-# counts them, since the network traffic is paid for.
+# Size of the IP header and of the TCP header with timestamps, which are sent with each
+# small frame. The byte budget counts them, since the network traffic is paid for.
 HEADER_BYTES = 52
 
-# Seconds; a clock that jumps back by more resets the schedule.
+# Seconds; if the clock is set back by more, the schedule is reset.
 CLOCK_STEP = 1.0
 
 
@@ -64,7 +64,7 @@
 
 
 class PeriodicTask(NamedTuple):
-    """A function that ``tick`` runs periodically; ``period`` returns seconds."""
+    """Hold a function that ``tick`` runs at intervals of ``period()`` seconds."""
 
     run: Callable
     period: Callable
@@ -117,7 +117,7 @@
         self._seeds = [seed for seed in seeds if seed != self._record.address]
 
     def encode_hello(self):
-        """Return the encoded frame that starts each stream: this instance's record."""
+        """Return the first frame of each stream, encoded: this instance's record."""
         return frames.encode(Frame("hello", to_wire(self._record)))
 
     def tick(self, now):
@@ -203,8 +203,8 @@
     def _reset_schedule(self):
         """Make all tasks due and choose new links after the clock was set back.
 
-        All stored times lie in the future. Until the clock caught up, no task would run
-        and no peer would count as silent, so this instance would miss notices.
+        All stored times now lie in the future. Until then, no task would run and
+        no peer would count as silent, so this instance would miss notices.
         """
         self._due_at = [0.0] * len(self._tasks)
         self._view = View(self._cfg, self._record, self._rng)
@@ -354,8 +354,8 @@
         return self._accept_if_newer(record, peer, now, spread)
 
     def _accept_notice(self, notice, peer, now, spread):
-        # A peer that was cut off still sends notices that the others have expired.
-        # Accepting them would exclude an upstream that has since been replaced.
+        # A peer that was cut off may still send notices that have expired. Accepting
+        # them would exclude an upstream that has since been replaced.
         if notice.deadline + self._cfg.notice_age < now:
             return []
         return self._accept_if_newer(notice, peer, now, spread=True)
--- a/src/chervilwing/transfer.py
+++ b/src/chervilwing/transfer.py
@@ -16,7 +16,7 @@
         self.revision = revision
         self.holders = [peer]
         self.data = bytearray()
-        self.asked_at = now
+        self.requested_at = now
 
     def request_body(self):
         """Return the body of the next ``fetch``: revision number and byte offset."""
@@ -76,9 +76,9 @@
     def retry(self, now):
         """Return the next holder and the body of a fetch if a reply is overdue."""
         pending = self._pending
-        if pending is None or abs(now - pending.asked_at) < self._cfg.fetch_timeout:
+        if pending is None or abs(now - pending.requested_at) < self._cfg.fetch_timeout:
             return None
-        pending.asked_at = now
+        pending.requested_at = now
         pending.holders.append(pending.holders.pop(0))
         return pending.holders[0], pending.request_body()
 
@@ -113,7 +113,7 @@
         if offset != len(pending.data):
             return None, None
         pending.data += chunk
-        pending.asked_at = now
+        pending.requested_at = now
         if len(pending.data) < pending.revision.size:
             return None, pending.request_body()
         return self._finish(pending), None
--- a/src/chervilwing/views.py
+++ b/src/chervilwing/views.py
@@ -58,7 +58,10 @@
         self._probed_at.setdefault(peer, now)
 
     def collect_silent(self, now):
-        """Return the links that missed too many probes; drop other silent peers."""
+        """Return the links that missed ``max_missed_probes`` probes.
+
+        An unlinked peer is dropped after one missed probe.
+        """
         silent = []
         for peer, at in list(self._probed_at.items()):
             if now - at < self._cfg.probe_timeout:
@@ -117,7 +120,7 @@
     def rebalance(self, records, now):
         """Choose all links again, after a partition.
 
-        During a partition, links to reachable data centres fill the places of others.
+        During a partition, links to reachable data centres replace those to the others.
         """
         self._links.clear()
         return self.refill(records, now)
@@ -178,7 +181,7 @@
         return self._rng.choice(suspected or others).address
 
     def drop_old_entries(self, now):
-        """Drop the entries of unlinked silent peers and expired relink delays."""
+        """Drop expired relink delays and the contact times of silent unlinked peers."""
         oldest = now - self._cfg.contact_age
         for peer in [peer for peer, at in self._last_contact.items() if at < oldest]:
             if peer not in self._links:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -20,14 +20,18 @@
 REGIONS = {"a": "south", "b": "south", "c": "south", "d": "west", "e": "west"}
 # Simulated seconds between two checks of the condition that a run waits for.
 POLL_INTERVAL = 0.02
-# A frame over this size carries a configuration value and is counted apart.
+# A frame over this size carries a configuration value; it is counted in
+# ``value_bytes`` and not in ``sent_bytes``.
 VALUE_FRAME_BYTES = 8192
-# One way, in seconds.
+# Simulated network delays in one direction, in seconds.
 SAME_CENTRE_DELAY, SAME_REGION_DELAY, CROSS_REGION_DELAY = 0.0005, 0.0015, 0.05
 
 
 class Fleet:
-    """Hold the instances, the frames in transit and the traffic counters."""
+    """Simulate the instances, the frames in transit and the traffic counters.
+
+    ``cut`` holds the data centres that can't reach any data centre outside the set.
+    """
 
     def __init__(self, size, seed, loss=0.0, cfg=None, centres="abcde"):
         self.rng = random.Random(seed)
@@ -62,7 +66,7 @@
         return node
 
     def introduce(self):
-        """Give each instance the records of all others."""
+        """Pass the records of all instances to each of them."""
         records = [to_wire(node.members()[0]) for node in self.nodes.values()]
         for address, node in self.nodes.items():
             node.receive(address, Frame("items", records), self.now)
@@ -97,7 +101,7 @@
         return len({node.describe().digest for node in self.nodes.values()}) == 1
 
     def take(self, address, actions):
-        """Send the frames of an instance and record the items that it received."""
+        """Send the frames in an instance's actions and record the items it received."""
         for action in actions:
             if type(action) is Send:
                 self._send(address, action.peer, action.data)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -66,11 +66,11 @@
         fleet.nodes[address].publish_revision(number, make_value(number), fleet.now)
 
     def test_notice_received_by_one_reaches_all_in_time(self):
-        """New work is sent to an engine that is being reclaimed.
+        """A notice that one instance receives stops new work on the engine in time.
 
-        Only one entry instance received the cloud's notice; the instance list lags by
+        Only one entry instance receives the cloud's notice; the instance list lags by
         seconds. All others must receive it within 3 s, even if a fifth of the frames is
-        lost.
+        lost. Otherwise new work is sent to an engine that is being reclaimed.
         """
         for size, loss in ((6, 0.0), (24, 0.0), (24, 0.2), (100, 0.05)):
             with self.subTest(size=size, loss=loss):
@@ -82,10 +82,11 @@
                     self.assertIsNotNone(fleet.run(MAX_NOTICE_DELAY, done))
 
     def test_burst_of_notices_stays_within_the_byte_budget(self):
-        """Notices for all engines of a data centre reach one instance at once.
+        """A burst of notices reaches all in time and within the byte budget.
 
-        130 engines leave together. All instances must receive all notices within 3 s,
-        and none may send more bytes than its burst and rate allow.
+        130 engines of a data centre leave together, and one instance receives all the
+        notices at once. All instances must receive them within 3 s, and none may send
+        more bytes than its burst and rate allow.
         """
         fleet = make_fleet(40)
         before = fleet.sent_bytes.copy()
@@ -128,11 +129,12 @@
         self.assertEqual(node.describe().rumours, 0)
 
     def test_both_sides_merge_after_a_partition(self):
-        """After a partition, one side still applies rules that the other side replaced.
+        """After a partition, both sides apply the newest rules and hold all notices.
 
         Data centre c is cut off for 90 s. Meanwhile the others spread revision 9 and a
         notice, and c another notice. Nothing crosses during the partition; afterwards
-        both sides must hold all of it.
+        both sides must hold all of it. Otherwise one side would still apply rules that
+        the other side replaced.
         """
         fleet = make_fleet(24)
         fleet.cut = {"c"}
@@ -167,10 +169,11 @@
         self.assertIsNotNone(healed)
 
     def test_regions_reconnect_after_a_long_partition(self):
-        """After a long partition of the regions, they stay apart.
+        """Regions that were apart for long link to each other again.
 
         Every instance has dropped its links to the other region by then and regards its
-        data centres as cut off, so it would not link to them again.
+        data centres as cut off. Without probes of unlinked instances it would not link
+        to them again.
         """
         fleet = make_fleet(24)
         fleet.cut = {"d", "e"}
@@ -184,7 +187,7 @@
         self.assertIsNotNone(fleet.run(MAX_REVISION_DELAY, done))
 
     def test_stale_peer_does_not_restore_an_older_revision(self):
-        """A rule that an operator withdrew is in force again.
+        """An older revision of a stale peer doesn't restore a rule that was withdrawn.
 
         An instance that was cut off while revision 5 replaced 4 is connected again and
         offers revision 4. Another starts without stored state while the platform is
@@ -206,10 +209,10 @@
         self.assertEqual(fleet.nodes[addresses[0]].revision(), 5)
 
     def test_gossip_continues_after_clocks_are_set_back(self):
-        """No instance receives a notice or detects a failure for an hour.
+        """After clocks are set back by an hour, notices and failures are still noticed.
 
-        All clocks were set back by an hour at once, so no scheduled task was due and no
-        dead link was detected as silent.
+        All clocks are set back at once. If the stored times were kept, no task would be
+        due and no dead link be detected as silent for an hour.
         """
         fleet = make_fleet(12)
         for node in fleet.nodes.values():
@@ -226,10 +229,11 @@
         self.assertIsNotNone(fleet.run(MAX_NOTICE_DELAY, done))
 
     def test_notice_spreads_right_after_a_data_centre_dies(self):
-        """Work is sent to a leaving engine while another data centre is reclaimed.
+        """A notice reaches all in time although a fifth of the links has just died.
 
-        A fifth of the links lead to instances that just died, which is not detected
-        yet; frames to them are lost.
+        These links lead to instances of a reclaimed data centre, which is not detected
+        yet; frames to them are lost. Without other links the notice would be late, and
+        work would be sent to a leaving engine.
         """
         fleet = make_fleet(40)
         for address, node in list(fleet.nodes.items()):
@@ -242,7 +246,7 @@
         self.assertIsNotNone(fleet.run(MAX_NOTICE_DELAY, done))
 
     def test_expired_notice_is_not_accepted(self):
-        """A replaced engine gets no work because of an expired notice.
+        """An expired notice doesn't keep work from the engine that replaced another.
 
         An instance that was paused still has the old notice and publishes it.
         """
@@ -255,7 +259,7 @@
 
 class TestHealth(unittest.TestCase):
     def test_dead_instance_is_suspected_and_its_restart_is_live(self):
-        """A dead instance is shown as live, or its restarted process as suspect.
+        """A dead instance is shown as suspect, and its restarted process as live.
 
         One of eight instances in a data centre dies without notice; all must suspect
         it. It restarts with a higher incarnation and no state; all must show it as live
@@ -280,16 +284,16 @@
         self.assertEqual((record.state, record.incarnation), (LIVE, 2))
 
     def test_false_suspicion_is_refuted_by_its_subject(self):
-        """An instance that only paused is shown as suspect for good.
+        """An instance that only paused is soon shown as live again.
 
         A peer spread the suspicion during the pause. Once the instance runs again, its
         new incarnation must replace the suspicion everywhere, without a restart.
         """
         fleet = make_fleet(12)
-        subject, accuser = list(fleet.nodes)[:2]
-        record = find_record(fleet, accuser, subject)._replace(state=SUSPECT)
-        node = fleet.nodes[accuser]
-        fleet.take(accuser, node._accept([record], None, fleet.now, spread=True))
+        subject, peer = list(fleet.nodes)[:2]
+        record = find_record(fleet, peer, subject)._replace(state=SUSPECT)
+        node = fleet.nodes[peer]
+        fleet.take(peer, node._accept([record], None, fleet.now, spread=True))
         fleet.run(10.0)
         held = {find_record(fleet, node, subject)[-2:] for node in fleet.nodes}
         self.assertEqual(held, {(LIVE, 2)})
@@ -303,18 +307,19 @@
         self.assertEqual(states, {LEAVING})
 
     def test_groups_that_joined_through_different_seeds_merge(self):
-        """Half of the instances never receive a notice.
+        """Instances that joined through different seeds end up in one group.
 
-        All seeds started at once and each formed a group of its own. The members of a
-        group reach each other, so they would contact no other seed.
+        All seeds start at once and each forms a group of its own. The members of a
+        group reach each other, so unless they also probe the other seeds, a notice
+        would reach only one group.
         """
         self.assertTrue(make_fleet(8, seed=1).agree())
         self.assertTrue(make_fleet(40, seed=2).agree())
 
     def test_stale_record_of_a_forgotten_instance_is_rejected(self):
-        """The status page shows an instance that was replaced days ago.
+        """An instance that was replaced days ago isn't listed again.
 
-        All had forgotten it when a peer that was cut off for long sent its record
+        All have forgotten it when a peer that was cut off for long sends its record
         again. A process of the same name with a new incarnation is accepted.
         """
         cfg = MembershipSettings(suspect_age=20.0)
@@ -331,10 +336,11 @@
             self.assertEqual(find_record(fleet, other, dead) is not None, held)
 
     def test_instances_that_start_at_once_get_referrals_from_seeds(self):
-        """After a full outage, most instances know no other for minutes.
+        """After a full outage, instances that start at once soon know each other.
 
         All start at once and ask the three seeds, whose byte budget is soon used up.
-        The seeds' replies must refer them to instances that have budget left.
+        The seeds' replies must refer them to instances that have budget left; otherwise
+        most would know no other for minutes.
         """
         cfg = MembershipSettings(rate=100.0, burst=3000.0)
         fleet = Fleet(100, 1, cfg=cfg)
