--- a/src/chervilwing/checks.py
+++ b/src/chervilwing/checks.py
@@ -10,7 +10,11 @@
 
 
 def check_consistency(inventory, rules):
-    """Return inventory and rules with the upstreams' kinds; raise BadConfiguration."""
+    """Check inventory and rules against each other.
+
+    Return both, with each upstream's kind set from its pool. Raise BadConfiguration if
+    they are inconsistent.
+    """
     _check_unique(inventory, rules)
     kinds = {pool.name: pool.kind for pool in inventory.pools}
     inventory = inventory._replace(
--- a/src/chervilwing/documents.py
+++ b/src/chervilwing/documents.py
@@ -59,7 +59,10 @@
 
 
 def check_configuration(cfg):
-    """Return the configuration with the upstreams' kinds; raise BadConfiguration."""
+    """Check a configuration; return it with each upstream's kind set from its pool.
+
+    Raise BadConfiguration if it is inconsistent.
+    """
     inventory, rules = check_consistency(cfg.inventory, cfg.rules)
     return cfg._replace(inventory=inventory, rules=rules)
 
@@ -87,7 +90,7 @@
 
 
 class PartFile(NamedTuple):
-    """Hold the part of an operators' file and the revision it was made from, if any."""
+    """Hold the inventory or rules of an operators' file and its revision, if any."""
 
     revision: int | None
     part: Inventory | Rules
@@ -128,7 +131,10 @@
 
 
 def _render_value(value):
-    """Return a value as TOML; JSON escapes suffice for the strings of the shapes."""
+    """Return a value as TOML, with its strings escaped as in JSON.
+
+    TOML decodes them to the same text, for all strings that the shapes accept.
+    """
     if isinstance(value, dict):
         pairs = (f"{key} = {_render_value(item)}" for key, item in value.items())
         return "{ " + ", ".join(pairs) + " }"
--- a/src/chervilwing/follower.py
+++ b/src/chervilwing/follower.py
@@ -33,7 +33,8 @@
 class Follower(BaseComponent):
     """Run the ``Revisions`` of an instance and configure its dispatcher.
 
-    ``publish`` is called with the number and the bytes of each value put in force.
+    ``publish`` is called with the revision number and the bytes of each configuration
+    that is put in force.
     """
 
     channel = "follower"
@@ -81,14 +82,15 @@
         for action in actions:
             APPLIERS[type(action)](self, action)
 
-    def _call(self, action):
+    def _send_store_call(self, action):
         self._store.carry(action, self._on_reply)
 
     def _on_adopted(self, action):
         configuration = unwrap(parse_document(action.value))
         self._dispatch.configure(configuration)
         log_event("configuration in force", revision=configuration.revision)
-        # A value from the membership is already known there and starts no rumour.
+        # A value that came from the membership is already stored there and starts no
+        # rumour.
         try:
             self._publish(action.stamp.revision, action.value.encode())
         except TooLarge as exc:
@@ -103,7 +105,7 @@
 
 
 APPLIERS = {
-    StoreCall: Follower._call,
+    StoreCall: Follower._send_store_call,
     Adopted: Follower._on_adopted,
     Ignored: Follower._on_ignored,
 }
--- a/src/chervilwing/messages.py
+++ b/src/chervilwing/messages.py
@@ -13,7 +13,7 @@
 
 
 class Write(NamedTuple):
-    """Compare-and-swap one key; with ``expect`` 0 the key must not exist."""
+    """Write a key if its version is ``expect``; with 0 the key must not exist."""
 
     key: str
     value: str
@@ -81,7 +81,7 @@
 
 
 class StoreCall(NamedTuple):
-    """Send a request; the reply, or ``Unanswered``, is returned with the token."""
+    """Send a request to the store; its reply is passed back with the token."""
 
     token: str
     request: StoreRequest
--- a/src/chervilwing/notices.py
+++ b/src/chervilwing/notices.py
@@ -10,11 +10,12 @@
 from .models import MODEL, Address, Upstream
 from .stores import collect_json
 
-# Seconds a watch on the notices waits. A watch that gets no reply is given up after
-# this wait and a connect timeout; its successor must still receive the notice within
-# the 3 s in which new work has to stop. This costs a call per second and watcher, with
-# two watchers in each data centre regardless of the size of the fleet.
+# Seconds for which one watch on the notices waits. A watch without a reply is given up
+# after this time plus the connect timeout, and the next watch must still receive the
+# notice within 3 s, when new work has to stop. So each watcher makes about one call per
+# second; there are two watchers in each data centre, whatever the size of the fleet.
 NOTICE_WAIT = 1.0
+# Seconds before a failed watch is repeated, and between two reads of the list.
 RETRY_DELAY = 1.0
 LIST_INTERVAL = 2.0
 LEAVING = "leaving"
@@ -30,7 +31,7 @@
 
 
 def read_upstream(row):
-    """Return the Upstream of a row; the directory sets the kind of its pool later."""
+    """Return the Upstream of a row; the directory later sets its kind from its pool."""
     return Upstream(
         str(row["name"]),
         MODEL,
@@ -65,7 +66,7 @@
         self._list_due = 0.0
 
     def hear(self, notice):
-        """Apply a notice that a peer published."""
+        """Apply a notice that was received from a peer."""
         self._apply_notice(notice.name, notice.deadline)
 
     @handler("tick", channel="*")
@@ -105,7 +106,7 @@
             self.leave(str(row["instance"]), float(row["deadline"]))
 
     def leave(self, name, deadline):
-        """Publish and apply that an upstream leaves at ``deadline`` (Unix seconds)."""
+        """Gossip and apply that an upstream leaves by ``deadline`` (Unix seconds)."""
         log_event("notice", instance=name, deadline=deadline)
         self._publish(Notice(UPSTREAM, name, deadline))
         self._apply_notice(name, deadline)
--- a/src/chervilwing/peers.py
+++ b/src/chervilwing/peers.py
@@ -22,15 +22,15 @@
 PART_BYTES = MAX_FRAME - 1024
 MAX_MESSAGE_BYTES = 2 * 1024 * 1024
 # Seconds after which an unused stream is closed. An instance sends occasional messages
-# to each of hundreds of others, which would keep sockets open at both ends. Ten times
-# the gossip's interval keeps the links of the partial view open.
+# to each of hundreds of others, which would keep sockets open at both ends. The gossip
+# probes each of its 6 links about every 6 s, a tenth of this time, so they stay open.
 IDLE_TIMEOUT = 60.0
 # Unsent bytes after which the connection to a peer that doesn't read is closed.
 MAX_PENDING_BYTES = 4 * 1024 * 1024
 
 
 class _Stream:
-    """Hold the state of the stream to or from a peer."""
+    """Hold the state of one stream, dialled by this instance or by the peer."""
 
     __slots__ = ("conn", "decoder", "parts", "address", "name", "used_at", "dialled")
 
@@ -61,7 +61,7 @@
         self._by_conn = {}
         self._by_address = {}
         self._addresses = {}
-        self._kinds = {}
+        self._subscriptions = {}
         handlers = StreamHandlers(self._on_opened, self._on_received, self._on_closed)
         self._streams = Streams(poller, handlers, "peer-streams").register(self)
 
@@ -78,8 +78,8 @@
         self._streams.stop_listening()
 
     def subscribe(self, kinds, on_message):
-        """Call ``on_message`` with the sender's name for messages of these types."""
-        self._kinds |= {kind.__name__: (kind, on_message) for kind in kinds}
+        """Call ``on_message`` with sender name and message for each of these types."""
+        self._subscriptions |= {kind.__name__: (kind, on_message) for kind in kinds}
 
     def record_address(self, name, address):
         """Record the address at which an instance accepts peers."""
@@ -195,11 +195,11 @@
             or not self._is_subscribed(body[0])
         ):
             raise BadFrame("An unknown message.")
-        kind, on_message = self._kinds[body[0]]
+        kind, on_message = self._subscriptions[body[0]]
         on_message(stream.name, rebuild(kind, body[1]))
 
     def _is_subscribed(self, name):
-        return isinstance(name, str) and name in self._kinds
+        return isinstance(name, str) and name in self._subscriptions
 
     def _on_closed(self, conn, exc):
         stream = self._by_conn.pop(conn, None)
--- a/src/chervilwing/rates.py
+++ b/src/chervilwing/rates.py
@@ -2,8 +2,9 @@
 
 from math import exp
 
-# Seconds after which work counts for 1/e, about a third. This is several times the
-# service time of long work, so that a single large request doesn't look like a trend.
+# Seconds after which work counts for 1/e of its cost, about a third. This is several
+# times the service time of long work, so that a single large request doesn't look like
+# a trend.
 DECAY_TIME = 10.0
 
 
@@ -35,13 +36,13 @@
         self._admitted = Rate()
 
     def record(self, cost, admitted, now):
-        """Add the cost of one offered request, which was admitted or not."""
+        """Add the cost of one offered request and whether it was ``admitted``."""
         self._offered.record(cost, now)
         if admitted:
             self._admitted.record(cost, now)
 
     def measure(self, now):
-        """Return offered divided by admitted work, limited to 1 to 20."""
+        """Return the ratio of offered to admitted work, clamped to 1 to 20."""
         admitted = self._admitted.measure(now)
         if admitted <= 0:
             return 1.0
--- a/src/chervilwing/revisions.py
+++ b/src/chervilwing/revisions.py
@@ -18,10 +18,11 @@
 class RevisionSettings(NamedTuple):
     """Configure the revisions; times in seconds.
 
-    ``watchers`` is their number in each data centre, ``watch_wait`` the long-poll time
-    of a watch. ``audit_interval`` is the mean time between two reads by any instance of
-    the fleet. An instance that starts while the store is unreachable waits
-    ``peer_wait`` for the revisions of its peers.
+    ``watchers`` is the number of instances in each data centre that watch the store for
+    a new revision, and ``watch_wait`` the long-poll time of one watch. Besides, all
+    instances read the store now and then, so that the fleet makes one read in each
+    ``audit_interval`` on average. An instance that starts while the store is
+    unreachable waits ``peer_wait`` for the revisions of its peers.
     """
 
     key: str = "configuration"
@@ -96,14 +97,14 @@
 
     @property
     def elected(self):
-        """Whether this instance is one of its data centre's watchers."""
+        """Return whether this instance is one of its data centre's watchers."""
         return self._elected
 
     def start(self, now):
         """Read the configuration from the store; return the store call."""
         self._peer_wait_until = now + self.cfg.peer_wait
         self._audit_at = now + self._rng.uniform(0, self._mean_audit_interval())
-        return (self._call(READ, Read(self.cfg.key)),)
+        return (self._make_call(READ, Read(self.cfg.key)),)
 
     def explain_not_ready(self):
         """Return None if ready, else a NoConfiguration with the reason."""
@@ -147,7 +148,7 @@
             self._audit_at = (
                 now + self._rng.uniform(0.5, 1.5) * self._mean_audit_interval()
             )
-            actions.append(self._call(READ, Read(self.cfg.key)))
+            actions.append(self._make_call(READ, Read(self.cfg.key)))
         return tuple(actions)
 
     def _watch(self, now):
@@ -155,7 +156,7 @@
         if not self._elected or watching or now < self._watch_at:
             return ()
         request = Watch(self.cfg.key, self._version, self.cfg.watch_wait)
-        return (self._call(WATCH, request),)
+        return (self._make_call(WATCH, request),)
 
     def _mean_audit_interval(self):
         # All watchers may be frozen while the member list shows them as live; no
@@ -163,7 +164,7 @@
         # time to time. The fleet's total read rate does not depend on its size.
         return self.cfg.audit_interval * max(len(self._members), 1)
 
-    def _call(self, kind, request):
+    def _make_call(self, kind, request):
         token = next(self._tokens)
         self._calls[token] = kind
         return StoreCall(token, request)
--- a/src/chervilwing/shapes.py
+++ b/src/chervilwing/shapes.py
@@ -51,7 +51,7 @@
 
 
 def one_of(values):
-    """Return a reader of one of a few values."""
+    """Return a reader that accepts only these values."""
 
     def read(raw, path):
         if raw not in values:
@@ -73,7 +73,7 @@
 
 
 def positive_number(maximum):
-    """Return a reader of numbers above 0, up to ``most``."""
+    """Return a reader of numbers above 0, up to ``maximum``."""
 
     def read(raw, path):
         if type(raw) not in (int, float) or not isfinite(raw) or not 0 < raw <= maximum:
@@ -84,7 +84,7 @@
 
 
 def non_negative_number(maximum):
-    """Return a reader of numbers from 0 to ``most``."""
+    """Return a reader of numbers from 0 to ``maximum``."""
     read_positive = positive_number(maximum)
     return lambda raw, path: (
         0.0 if type(raw) in (int, float) and raw == 0 else read_positive(raw, path)
@@ -92,7 +92,7 @@
 
 
 def list_of(read_item):
-    """Return a reader of lists."""
+    """Return a reader of lists whose items ``read_item`` reads."""
 
     def read(raw, path):
         if not isinstance(raw, list):
@@ -123,7 +123,7 @@
 
 
 def read_flag(raw, path):
-    """Return a boolean."""
+    """Return a raw value that must be a boolean."""
     if type(raw) is not bool:
         fail(path, f"{raw!r} is neither true nor false")
     return raw
--- a/src/chervilwing/stores.py
+++ b/src/chervilwing/stores.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the platform's key-value service, from and to typed messages."""
+"""Calls to the platform's key-value service: typed requests and replies over HTTP."""
 
 import json
 from urllib.parse import quote, urlencode
@@ -96,7 +96,7 @@
         self.address = cfg.store
 
     def submit(self, req, reply):
-        """Send one request; ``reply`` is called exactly once, with a StoreReply."""
+        """Send one request; call ``reply`` exactly once, with a StoreReply."""
         method, path, body = ENCODERS[type(req)](req)
         wait = req.wait if isinstance(req, Watch) else 0.0
         call = Call(
@@ -113,15 +113,16 @@
         )
 
     def carry(self, action, received):
-        """Send a core's StoreCall; call ``received`` with its token and the reply."""
+        """Send a StoreCall's request; call ``received`` with the token and reply."""
         self.submit(action.request, lambda reply: received(action.token, reply))
 
 
 def collect(reply, path_lost=None):
     """Return handlers that call ``reply`` with the status and body of a response.
 
-    The status is 0 if there was none. ``path_lost`` is called instead of ``reply`` if
-    only old connections failed.
+    The status is 0 if there was no response. ``path_lost`` is called instead of
+    ``reply`` if the call's connection went silent while the same address answers on a
+    new connection (PathSilent); the caller may then repeat the call.
     """
     parts = []
     status = []
--- a/src/chervilwing/wire.py
+++ b/src/chervilwing/wire.py
@@ -42,7 +42,7 @@
 
 
 def rebuild_union(type_, value):
-    """Return an optional value; unions of two message types aren't supported."""
+    """Return a received value as ``X | None``; other unions aren't supported."""
     if value is None and NoneType in get_args(type_):
         return None
     members = [item for item in get_args(type_) if item is not NoneType]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -22,7 +22,7 @@
 
 
 class Sample(NamedTuple):
-    """A message with one field of each supported type."""
+    """Hold a message with one field of each supported type."""
 
     name: str
     number: float
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -28,10 +28,11 @@
         self.assertEqual(self.core.stamp.revision, 2)
 
     def test_value_of_a_peer_makes_ready_only_after_the_wait(self):
-        """An instance applies rules that an operator replaced minutes ago.
+        """An instance that restarts in an outage waits for its peers' newest revision.
 
-        It restarts while the store is down. The first value comes from a peer that was
-        cut off during the edit and has revision 1; revision 2 arrives later.
+        The store is down. The first value comes from a peer that was cut off during an
+        edit and has revision 1; revision 2 arrives later. Without the wait the instance
+        would apply rules that an operator replaced minutes ago.
         """
         self.core.receive(self.read.token, Unanswered(), 0.1)
         self.core.hear("1 op-1", 0.2)
@@ -80,7 +81,8 @@
 
     def test_value_too_large_to_publish_is_put_in_force(self):
         # Somebody wrote a configuration over a megabyte without the operators' tools.
-        # The instances that read it must keep running; each reads the store itself.
+        # It can't be gossiped, so each instance reads it from the store itself and must
+        # keep running.
         def refuse(number, value):
             raise TooLarge("over the limit")
 
