--- a/tests/deployments.py
+++ b/tests/deployments.py
@@ -38,7 +38,10 @@
 def make_configuration(
     upstreams, revision=1, operation="first", centres=(), models=("memo",), fenced=True
 ):
-    """Return a configuration with these upstreams; ``centres`` are the engines'."""
+    """Return a configuration with these upstreams.
+
+    ``centres`` are the data centres of the engines in order; the others are in ``a``.
+    """
     rows = [
         Upstream(
             f"engine-{i}",
@@ -98,7 +101,7 @@
         return answer["version"]
 
     def list_instances(self, configuration):
-        """Put the configuration's upstreams on the cloud's instance list."""
+        """List the configuration's upstreams as instances of the fake cloud."""
         rows = [
             {
                 "name": row.name,
@@ -124,7 +127,7 @@
     ):
         """Start an entry instance and wait until it is ready.
 
-        With ``peer``, a relay process, other instances connect to it through the relay.
+        ``peer`` is a relay process through which other instances connect to this one.
         """
         seeds = ",".join(f"{HOST}:{port}" for port in self.peer_ports)
         entry = self.processes.start_daemon(
--- a/tests/explorer.py
+++ b/tests/explorer.py
@@ -4,7 +4,7 @@
 from tests import scenarios
 from tests.world import Node, World
 
-# Short times, so that claims expire and cells of the ring are reused.
+# Short times, so that claims expire and the store cells of a shard are reused.
 SETTINGS = ClaimSettings(
     shards=2, run_limit=8.0, skew=1.0, slot=2.0, ring=24, window=40.0
 )
@@ -40,7 +40,7 @@
 
 
 def list_violations(world):
-    """Return the violated invariants as text, by the effects that the service saw."""
+    """Return the violated invariants as text, from the notes that the service ran."""
     violations = []
     for note in {effect.note for effect in world.effects}:
         effects = [effect for effect in world.effects if effect.note == note]
@@ -54,7 +54,7 @@
 
 
 def plan_note(world, note):
-    """Schedule a note to be sent up to five times, mostly within seconds."""
+    """Schedule a note to be sent one to five times, mostly within seconds."""
     at = world.rng.uniform(1, FAULT_SECONDS)
     for _ in range(world.rng.randint(1, 5)):
         if at < FAULT_SECONDS:
@@ -68,19 +68,19 @@
 
 
 def restart(world):
-    """Kill an instance and start it again."""
+    """Kill a random instance and start it again within 10 s."""
     name = pick_instance(world)
     world.kill(name)
     world.later(world.rng.uniform(0.1, 10.0), world.nodes[name].boot)
 
 
-def pause_late(world):
-    """Pause an instance between its check and its send."""
+def pause_before_send(world):
+    """Pause an instance once, between checking its claim and sending the request."""
     world.nodes[pick_instance(world)].pause = world.rng.uniform(0.5, 15.0)
 
 
 def break_store(world):
-    """Set one fault of the store."""
+    """Start a random fault of the store, for a random time."""
     fault, value = world.rng.choice(
         [("down", True), ("loses", True), ("slow", 0.3), ("slow", 0.7), ("delays", 1.2)]
     )
@@ -89,15 +89,23 @@
 
 
 def freeze(world):
-    """Freeze an instance."""
+    """Freeze a random instance for a random time."""
     world.freeze(pick_instance(world), world.rng.choice([0.02, 0.3, 2.0, 12.0]))
 
 
 def cut(world):
-    """Cut off a zone, an instance from the platform, or two from each other."""
+    """Cut off a zone, an instance from the store, or two instances from each other."""
     pair = frozenset([pick_instance(world), pick_instance(world)])
     target = world.rng.choice(["a", "b", "c", pick_instance(world), pair])
     world.cut(target, world.rng.uniform(0.5, 12.0))
 
 
-FAULT_EVENTS = (restart, pause_late, break_store, break_store, freeze, freeze, cut)
+FAULT_EVENTS = (
+    restart,
+    pause_before_send,
+    break_store,
+    break_store,
+    freeze,
+    freeze,
+    cut,
+)
--- a/tests/world.py
+++ b/tests/world.py
@@ -18,19 +18,21 @@
 from chervilwing.revisions import Adopted, Revisions, RevisionSettings, Stamp
 from chervilwing.segments import Outcome
 
+# In seconds; EPOCH is the Unix time at which a simulation starts.
 EPOCH = 1.8e9
 TICK = 0.02
 STORE_TIMEOUT = 0.5
 LIST_LAG = 3.0
-# Of the simulated membership, in seconds: the longest delay of a value between two
-# instances, and the interval at which an instance exchanges values with another.
+# The gossip is simulated by delays, in seconds: the longest until a configuration value
+# reaches another instance, and the interval at which an instance exchanges values with
+# a random one.
 MAX_VALUE_DELAY = 0.5
 EXCHANGE_INTERVAL = 1.0
 CONFIG_KEY = RevisionSettings().key
 
 
 class Effect(NamedTuple):
-    """Record that the service ran a note; the test oracle of at most once."""
+    """Record that the service ran a note; each note may have one ``Effect`` at most."""
 
     time: float
     note: str
@@ -38,7 +40,12 @@
 
 
 class Call:
-    """Hold a caller's request and the result that it got."""
+    """Hold a caller's request and the result that it got.
+
+    ``kind`` is None before a reply, then "ran", "recorded", "no-connection" or the type
+    of the error. ``told`` is the outcome that the error reports, and ``told_at`` the
+    time of the error. ``cut`` is true if the instance died before its reply.
+    """
 
     def __init__(self, note, node, operation):
         self.note = note
@@ -69,7 +76,7 @@
 
 
 class Store:
-    """A key-value store that counts calls and can be down, slow or lose replies."""
+    """Simulate a key-value store that can be down, slow or lose replies."""
 
     def __init__(self, world):
         self.world = world
@@ -174,7 +181,11 @@
 
 
 class Node:
-    """An entry instance: its cores, and a simulated process that may freeze or die."""
+    """Simulate an entry instance: its cores, and a process that may freeze or die.
+
+    ``pause`` is the time in seconds for which the process freezes before it next sends
+    a granted request or an order.
+    """
 
     def __init__(self, world, name, zone):
         self.world = world
@@ -213,7 +224,7 @@
         self.exchange_values(self.boot_count)
 
     def run(self, boot, method, *args):
-        """Call a method on this node: later if frozen, never if it has restarted."""
+        """Call a method of this node: later if it is frozen, never if it died since."""
         if not self.alive or boot != self.boot_count:
             return
         if self.frozen:
@@ -239,7 +250,10 @@
         self.world.later(TICK, self.run, boot, self.tick, boot)
 
     def exchange_values(self, boot):
-        """Exchange values with a random instance, as the membership does by digests."""
+        """Exchange the configuration in force with a random instance.
+
+        The real membership does this after a ping shows that the two tables differ.
+        """
         world = self.world
         if others := world.list_others(self):
             world.exchange(self, world.gossip_rng.choice(others))
@@ -254,7 +268,7 @@
         """Call a method of a core with the current time and perform its actions."""
         self.apply_actions(getattr(core, method)(*args, self.world.now))
 
-    def send(self, call, key, fingerprint):
+    def accept_request(self, call, key, fingerprint):
         """Accept a caller's request with its idempotency key."""
         call.operation = f"{self.name}.{self.boot_count}.{next(self.operations)}"
         self.calls[call.operation] = call
@@ -262,12 +276,12 @@
         self.call_core(self.ledger, "claim", *args)
 
     def finish(self, call, body):
-        """Send the service's response to the caller and record the outcome."""
+        """Pass the service's response to the caller and record the outcome."""
         if call.kind is None:
             call.kind, call.body = "ran", body
         self.call_core(self.ledger, "settle", call.operation, Outcome(200, body))
 
-    def _store(self, action):
+    def _send_store_call(self, action):
         def reply(found):
             self.run(
                 boot, self.call_core, self.find_core(token), "receive", token, found
@@ -302,7 +316,7 @@
         call = self.calls[action.operation]
         if not self.ledger.may_start(action.operation, self.world.now):
             return
-        # A pause may fall between the check and the send.
+        # The process may be paused after this check and before it sends the request.
         self._apply_pause()
         self.world.later(0.001, self.run, self.boot_count, self.world.serve, self, call)
 
@@ -331,7 +345,7 @@
 
 
 ACTIONS = {
-    m.StoreCall: Node._store,
+    m.StoreCall: Node._send_store_call,
     m.Forward: Node._forward,
     ClaimGranted: Node._on_granted,
     ClaimRecorded: Node._on_recorded,
@@ -343,7 +357,7 @@
 
 
 class World:
-    """The state of a scenario, on a simulated clock."""
+    """Hold the state of a scenario and run its events on a simulated clock."""
 
     def __init__(self, seed=1, cfg=None):
         self.cfg = cfg or ClaimSettings()
@@ -392,7 +406,7 @@
             node.boot()
 
     def update_list(self):
-        """Publish the list of live instances after its lag."""
+        """Publish the cloud's list of live instances, ``LIST_LAG`` seconds later."""
         self.later(LIST_LAG, self._publish_list)
 
     def _publish_list(self):
@@ -427,12 +441,16 @@
         return [peer for peer in self.nodes.values() if peer is not node]
 
     def exchange(self, node, peer):
-        """Send each of two instances the value of the other."""
+        """Send each of two instances the configuration of the other."""
         self.send_value(node, peer)
         self.send_value(peer, node)
 
     def send_value(self, node, peer):
-        """Send a node's value to a peer after a delay, as the membership does."""
+        """Deliver a node's configuration to a peer after a random delay.
+
+        The delay stands for the gossip of the membership. The value in force at its end
+        is delivered, if the peer can be reached then.
+        """
         delay = MAX_VALUE_DELAY * self.gossip_rng.uniform(0.2, 1.0)
         self.later(delay, node.run, node.boot_count, self._deliver_value, node, peer)
 
@@ -456,7 +474,7 @@
             return
         key = ClaimKey("andesur", self.keys[note])
         fingerprint = f"{note}{'!' if altered else ''}"
-        node.run(node.boot_count, node.send, call, key, fingerprint)
+        node.run(node.boot_count, node.accept_request, call, key, fingerprint)
 
     def serve(self, node, call):
         """Run a note on the service and record the effect."""
@@ -484,14 +502,14 @@
         node.run(node.boot_count, node.call_core, node.holder, "order", *args)
 
     def add_engine(self, name, zone, fenced=True):
-        """Add an engine."""
+        """Add an engine to which operators can give orders."""
         address = Address("127.0.0.1", 1)
         self.engines[name] = Upstream(
             name, "model", "pool", address, zone, fenced=fenced
         )
 
     def freeze(self, name, seconds):
-        """Suspend an instance's process for some seconds."""
+        """Suspend an instance's process for ``seconds``."""
         node = self.nodes[name]
         if node.alive and not node.frozen:
             node.frozen = True
@@ -515,7 +533,7 @@
         self.later(seconds, self.partitions.discard, what)
 
     def publish_next(self):
-        """Write the revision after the newest."""
+        """Write the revision that follows the newest one into the store."""
         newest = self.store.records.get(CONFIG_KEY, ("0 none",))[0]
         self.publish(read_stamp(newest).revision + 1)
 
