--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -45,7 +45,7 @@
         self.headers = 0
         self.value_bytes = 0
         self._queue = []
-        self._order = count()
+        self._sequence = count()
         self._streams = set()
         for number in range(size):
             self.start(f"entry-{number}", centres[number % len(centres)], number)
@@ -146,4 +146,6 @@
         )
 
     def _push(self, at, address, sender, payload):
-        heapq.heappush(self._queue, (at, next(self._order), address, sender, payload))
+        heapq.heappush(
+            self._queue, (at, next(self._sequence), address, sender, payload)
+        )
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -18,14 +18,14 @@
 
 class TestRevisions(unittest.TestCase):
     def setUp(self):
-        self.core = Revisions(CFG, "one", read_stamp, random.Random(1))
-        self.core.enlist(MEMBERS)
-        (self.read,) = self.core.start(0.0)
+        self.revisions = Revisions(CFG, "one", read_stamp, random.Random(1))
+        self.revisions.enlist(MEMBERS)
+        (self.read,) = self.revisions.start(0.0)
 
     def test_reply_of_the_store_makes_ready_at_once(self):
-        self.core.receive(self.read.token, Found("2 op-2", 7), 0.1)
-        self.assertIsNone(self.core.explain_not_ready())
-        self.assertEqual(self.core.stamp.revision, 2)
+        self.revisions.receive(self.read.token, Found("2 op-2", 7), 0.1)
+        self.assertIsNone(self.revisions.explain_not_ready())
+        self.assertEqual(self.revisions.stamp.revision, 2)
 
     def test_value_of_a_peer_makes_ready_only_after_the_wait(self):
         """An instance that restarts in an outage waits for its peers' newest revision.
@@ -34,33 +34,33 @@
         edit and has revision 1; revision 2 arrives later. Without the wait the instance
         would apply rules that an operator replaced minutes ago.
         """
-        self.core.receive(self.read.token, Unanswered(), 0.1)
-        self.core.hear("1 op-1", 0.2)
-        self.core.tick(CFG.peer_wait - 0.1)
-        detail = self.core.explain_not_ready().detail
+        self.revisions.receive(self.read.token, Unanswered(), 0.1)
+        self.revisions.hear("1 op-1", 0.2)
+        self.revisions.tick(CFG.peer_wait - 0.1)
+        detail = self.revisions.explain_not_ready().detail
         self.assertIn("no answer; peers: 2 known, revision 1 heard", detail)
-        self.core.hear("2 op-2", CFG.peer_wait - 0.1)
-        self.assertIsNotNone(self.core.explain_not_ready())
-        self.core.tick(CFG.peer_wait)
-        self.assertIsNone(self.core.explain_not_ready())
-        self.assertEqual(self.core.stamp.revision, 2)
+        self.revisions.hear("2 op-2", CFG.peer_wait - 0.1)
+        self.assertIsNotNone(self.revisions.explain_not_ready())
+        self.revisions.tick(CFG.peer_wait)
+        self.assertIsNone(self.revisions.explain_not_ready())
+        self.assertEqual(self.revisions.stamp.revision, 2)
 
     def test_value_after_the_wait_makes_ready_at_once(self):
-        self.core.receive(self.read.token, Missing(), 0.1)
-        self.core.tick(CFG.peer_wait + 1)
-        detail = self.core.explain_not_ready().detail
+        self.revisions.receive(self.read.token, Missing(), 0.1)
+        self.revisions.tick(CFG.peer_wait + 1)
+        detail = self.revisions.explain_not_ready().detail
         self.assertIn("holds none; peers: 2 known, none heard", detail)
-        self.core.hear("1 op-1", CFG.peer_wait + 2)
-        self.assertIsNone(self.core.explain_not_ready())
+        self.revisions.hear("1 op-1", CFG.peer_wait + 2)
+        self.assertIsNone(self.revisions.explain_not_ready())
 
     def test_only_newer_readable_values_are_adopted(self):
-        (adopted,) = self.core.hear("2 op-2", 0.1)
+        (adopted,) = self.revisions.hear("2 op-2", 0.1)
         self.assertIsInstance(adopted, Adopted)
-        self.assertEqual(self.core.hear("2 op-2", 0.2), ())
-        self.assertEqual(self.core.hear("1 op-1", 0.3), ())
-        (ignored,) = self.core.hear("of a later version", 0.4)
+        self.assertEqual(self.revisions.hear("2 op-2", 0.2), ())
+        self.assertEqual(self.revisions.hear("1 op-1", 0.3), ())
+        (ignored,) = self.revisions.hear("of a later version", 0.4)
         self.assertIsInstance(ignored, Ignored)
-        self.assertEqual(self.core.value, "2 op-2")
+        self.assertEqual(self.revisions.value, "2 op-2")
 
 
 class TestFollower(unittest.TestCase):
--- a/tests/world.py
+++ b/tests/world.py
@@ -494,10 +494,10 @@
         answer = lambda: node.apply_actions(node.holder.finish(*args))
         self.later(0.002, node.run, node.boot_count, answer)
 
-    def give_order(self, name, what, engine):
-        """Pass an operator's order to one instance."""
+    def give_order(self, name, model, engine):
+        """Order an instance to load a model on an engine."""
         node = self.nodes[name]
-        order = o.Order("load", self.engines[engine], what)
+        order = o.Order("load", self.engines[engine], model)
         args = o.name_order(1, order), order
         node.run(node.boot_count, node.call_core, node.holder, "order", *args)
 
@@ -524,13 +524,13 @@
                 call.cut = True
         self.update_list()
 
-    def cut(self, what, seconds):
+    def cut(self, target, seconds):
         """Cut off a zone from the others and the store, or an instance from the store.
 
         A frozenset of two instances cuts them off from each other.
         """
-        self.partitions.add(what)
-        self.later(seconds, self.partitions.discard, what)
+        self.partitions.add(target)
+        self.later(seconds, self.partitions.discard, target)
 
     def publish_next(self):
         """Write the revision that follows the newest one into the store."""
