--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -1,4 +1,4 @@
-"""Tests of revisions: when an instance is ready, and what it takes from its peers."""
+"""Tests of revisions: when an instance is ready, and which values it adopts."""
 
 import random
 import unittest
@@ -18,48 +18,49 @@
 
 class TestRevisions(unittest.TestCase):
     def setUp(self):
-        self.core = Revisions(CFG, "one", read_stamp, random.Random(1))
-        self.core.enlist(MEMBERS)
-        (self.read,) = self.core.start(0.0)
+        self.revisions = Revisions(CFG, "one", read_stamp, random.Random(1))
+        self.revisions.enlist(MEMBERS)
+        (self.read,) = self.revisions.start(0.0)
 
-    def test_store_answer_makes_ready_at_once(self):
-        self.core.receive(self.read.token, Found("2 op-2", 7), 0.1)
-        self.assertIsNone(self.core.explain_not_ready())
-        self.assertEqual(self.core.stamp.revision, 2)
+    def test_reply_of_the_store_makes_ready_at_once(self):
+        self.revisions.receive(self.read.token, Found("2 op-2", 7), 0.1)
+        self.assertIsNone(self.revisions.explain_not_ready())
+        self.assertEqual(self.revisions.stamp.revision, 2)
 
-    def test_peers_make_ready_only_after_the_wait(self):
-        """Callers meet rules that an operator has replaced minutes ago.
+    def test_value_of_a_peer_makes_ready_only_after_the_wait(self):
+        """An instance that restarts in an outage waits for its peers' newest revision.
 
-        An instance restarts while the store is down. The first peer that it hears was
-        cut off during the edit and has revision 1; one with revision 2 comes later.
+        The store is down. The first value comes from a peer that was cut off during an
+        edit and has revision 1; revision 2 arrives later. Without the wait the instance
+        would apply rules that an operator replaced minutes ago.
         """
-        self.core.receive(self.read.token, Unanswered(), 0.1)
-        self.core.hear("1 op-1", 0.2)
-        self.core.tick(CFG.peer_wait - 0.1)
-        detail = self.core.explain_not_ready().detail
+        self.revisions.receive(self.read.token, Unanswered(), 0.1)
+        self.revisions.hear("1 op-1", 0.2)
+        self.revisions.tick(CFG.peer_wait - 0.1)
+        detail = self.revisions.explain_not_ready().detail
         self.assertIn("no answer; peers: 2 known, revision 1 heard", detail)
-        self.core.hear("2 op-2", CFG.peer_wait - 0.1)
-        self.assertIsNotNone(self.core.explain_not_ready())
-        self.core.tick(CFG.peer_wait)
-        self.assertIsNone(self.core.explain_not_ready())
-        self.assertEqual(self.core.stamp.revision, 2)
+        self.revisions.hear("2 op-2", CFG.peer_wait - 0.1)
+        self.assertIsNotNone(self.revisions.explain_not_ready())
+        self.revisions.tick(CFG.peer_wait)
+        self.assertIsNone(self.revisions.explain_not_ready())
+        self.assertEqual(self.revisions.stamp.revision, 2)
 
     def test_value_after_the_wait_makes_ready_at_once(self):
-        self.core.receive(self.read.token, Missing(), 0.1)
-        self.core.tick(CFG.peer_wait + 1)
-        detail = self.core.explain_not_ready().detail
+        self.revisions.receive(self.read.token, Missing(), 0.1)
+        self.revisions.tick(CFG.peer_wait + 1)
+        detail = self.revisions.explain_not_ready().detail
         self.assertIn("holds none; peers: 2 known, none heard", detail)
-        self.core.hear("1 op-1", CFG.peer_wait + 2)
-        self.assertIsNone(self.core.explain_not_ready())
+        self.revisions.hear("1 op-1", CFG.peer_wait + 2)
+        self.assertIsNone(self.revisions.explain_not_ready())
 
     def test_only_newer_readable_values_are_adopted(self):
-        (adopted,) = self.core.hear("2 op-2", 0.1)
+        (adopted,) = self.revisions.hear("2 op-2", 0.1)
         self.assertIsInstance(adopted, Adopted)
-        self.assertEqual(self.core.hear("2 op-2", 0.2), ())
-        self.assertEqual(self.core.hear("1 op-1", 0.3), ())
-        (ignored,) = self.core.hear("of a later version", 0.4)
+        self.assertEqual(self.revisions.hear("2 op-2", 0.2), ())
+        self.assertEqual(self.revisions.hear("1 op-1", 0.3), ())
+        (ignored,) = self.revisions.hear("of a later version", 0.4)
         self.assertIsInstance(ignored, Ignored)
-        self.assertEqual(self.core.value, "2 op-2")
+        self.assertEqual(self.revisions.value, "2 op-2")
 
 
 class TestFollower(unittest.TestCase):
@@ -70,15 +71,18 @@
         publish = lambda *args: self.published.append(args)
         self.follower = Follower(cfg, None, publish, dispatcher)
 
-    def test_value_of_a_peer_comes_into_force(self):
+    def test_value_of_a_peer_is_put_in_force(self):
         value = serialise(make_configuration(Upstreams((), ()), 4)).encode()
         self.follower.hear(value)
-        self.assertEqual([one.revision for one in self.configured], [4])
+        self.assertEqual(
+            [configuration.revision for configuration in self.configured], [4]
+        )
         self.assertEqual(self.published, [(4, value)])
 
-    def test_value_too_large_to_spread_still_comes_into_force(self):
-        # Someone wrote a configuration over a megabyte past our tools. The instances
-        # that read it must go on, each by its own readings of the store.
+    def test_value_too_large_to_publish_is_put_in_force(self):
+        # Somebody wrote a configuration over a megabyte without the operators' tools.
+        # It can't be gossiped, so each instance reads it from the store itself and must
+        # keep running.
         def refuse(number, value):
             raise TooLarge("over the limit")
 
@@ -86,9 +90,9 @@
         self.follower.hear(serialise(make_configuration(Upstreams((), ()))).encode())
         self.assertEqual(len(self.configured), 1)
 
-    def test_bytes_that_are_no_text_are_ignored(self):
-        # A peer of another version spreads a value in a form that this one can't read.
-        # Raised in the task that serves all peers, the failure would end it.
+    def test_malformed_values_are_ignored(self):
+        # A peer of another version publishes a value that this version can't decode. An
+        # exception would end the task that serves all peers.
         self.follower.hear(b"\xff\xfe")
         self.follower.hear(b"{}")
         self.assertEqual((self.configured, self.published), ([], []))
