--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Tests that what the pages point at is there: links, modules, scenarios, tests."""
+"""Tests that the documentation refers to existing files, modules and make targets."""
 
 import importlib.util
 import re
@@ -6,37 +6,43 @@
 
 from tests.procs import ROOT
 
-LINK = re.compile(r"\]\((?!https?://)([^)#]+)")
-MODULE = re.compile(r"python -m ((?:bench|tests|chervilwing|unittest)[\w.]*)")
-TARGET = re.compile(r"(?:`|^    )make (\w+)", re.MULTILINE)
-SOURCE = re.compile(r"`((?:src|tests|bench|docs|examples)/[\w./-]+\.\w+)`")
+LINK_PATTERN = re.compile(r"\]\((?!https?://)([^)#]+)")
+MODULE_PATTERN = re.compile(r"python -m ((?:bench|tests|chervilwing|unittest)[\w.]*)")
+MAKE_TARGET_PATTERN = re.compile(r"(?:`|^    )make (\w+)", re.MULTILINE)
+SOURCE_PATTERN = re.compile(r"`((?:src|tests|bench|docs|examples)/[\w./-]+\.\w+)`")
 
 
 def find_pages():
-    """Return every page of the repository."""
+    """Return the paths of all Markdown pages."""
     return sorted([*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")])
 
 
 class TestPages(unittest.TestCase):
-    def check(self, pattern, holds):
-        """Check each thing that a pattern finds in each page."""
+    def check_references(self, pattern, is_valid):
+        """Check that each reference that ``pattern`` finds in a page is valid."""
         for page in find_pages():
-            for found in sorted(set(pattern.findall(page.read_text()))):
-                with self.subTest(page=page.name, found=found):
-                    self.assertTrue(holds(page, found))
+            for reference in sorted(set(pattern.findall(page.read_text()))):
+                with self.subTest(page=page.name, reference=reference):
+                    self.assertTrue(is_valid(page, reference))
 
-    def test_links_lead_to_files(self):
-        self.check(LINK, lambda page, found: (page.parent / found).exists())
+    def test_links_point_to_existing_files(self):
+        self.check_references(
+            LINK_PATTERN, lambda page, reference: (page.parent / reference).exists()
+        )
 
-    def test_files_that_are_named_exist(self):
-        def exists(page, found):
-            return "/NAME." in found or (ROOT / found).exists()
+    def test_source_files_exist(self):
+        def exists(page, reference):
+            return "/NAME." in reference or (ROOT / reference).exists()
 
-        self.check(SOURCE, exists)
+        self.check_references(SOURCE_PATTERN, exists)
 
-    def test_modules_that_are_run_exist(self):
-        self.check(MODULE, lambda page, found: importlib.util.find_spec(found))
+    def test_modules_of_commands_exist(self):
+        self.check_references(
+            MODULE_PATTERN, lambda page, reference: importlib.util.find_spec(reference)
+        )
 
-    def test_targets_of_make_exist(self):
+    def test_make_targets_exist(self):
         makefile = (ROOT / "Makefile").read_text()
-        self.check(TARGET, lambda page, found: f"\n{found}:" in makefile)
+        self.check_references(
+            MAKE_TARGET_PATTERN, lambda page, reference: f"\n{reference}:" in makefile
+        )
