--- a/src/chervilwing/changes.py
+++ b/src/chervilwing/changes.py
@@ -1,4 +1,4 @@
-"""Changes of a configuration: finding, applying and comparing them, entry by entry."""
+"""Find, apply and compare changes of a configuration, entry by entry."""
 
 import json
 from typing import Any, NamedTuple
@@ -7,15 +7,15 @@
 from .models import Configuration, Inventory, Rules
 from .shapes import SHAPES, fail, read_entry, to_plain
 
-EMPTY = Configuration(0, "", Inventory(), Rules())
-PART_OF = {
+EMPTY_CONFIGURATION = Configuration(0, "", Inventory(), Rules())
+PART_BY_SECTION = {
     **dict.fromkeys(Inventory._fields, "inventory"),
     **dict.fromkeys(Rules._fields, "rules"),
 }
 
 
 class Change(NamedTuple):
-    """One named entry set to a value, or removed when the value is None."""
+    """A new value for one named entry; None removes the entry."""
 
     section: str
     name: str
@@ -23,7 +23,11 @@
 
 
 class Overlap(NamedTuple):
-    """One entry that two operators changed, as plain data; None means removed."""
+    """An entry that two operators changed differently.
+
+    ``base`` is the common old value, ``ours`` that of this edit, ``theirs`` the stored
+    one, all as plain data; None if the entry doesn't exist.
+    """
 
     section: str
     name: str
@@ -32,17 +36,17 @@
     theirs: Any
 
 
-def list_entries(cfg, section):
-    """Return name to entry of one section."""
-    rows = getattr(getattr(cfg, PART_OF[section]), section)
-    return {item.name: item for item in rows}
+def index_entries(cfg, section):
+    """Return the entries of one section in a dict by name."""
+    entries = getattr(getattr(cfg, PART_BY_SECTION[section]), section)
+    return {item.name: item for item in entries}
 
 
 def find_changes(old, new):
-    """Return what turns one configuration into another, whatever their order."""
+    """Return the changes that turn ``old`` into ``new``; order is ignored."""
     changes = []
-    for section in PART_OF:
-        before, after = list_entries(old, section), list_entries(new, section)
+    for section in PART_BY_SECTION:
+        before, after = index_entries(old, section), index_entries(new, section)
         changes += [Change(section, name) for name in before if name not in after]
         changes += [
             Change(section, name, item)
@@ -53,54 +57,55 @@
 
 
 def apply_changes(cfg, changes):
-    """Return the configuration with the changes made; it isn't checked yet."""
-    sections = {section: list_entries(cfg, section) for section in PART_OF}
+    """Return the configuration with the changes applied, unchecked."""
+    sections = {section: index_entries(cfg, section) for section in PART_BY_SECTION}
     for section, name, value in changes:
         if value is None:
             sections[section].pop(name, None)
         else:
             sections[section][name] = value
-    for section, rows in sections.items():
-        cfg = _replace_section(cfg, section, tuple(rows.values()))
+    for section, entries in sections.items():
+        cfg = _replace_section(cfg, section, tuple(entries.values()))
     return cfg
 
 
-def _replace_section(cfg, section, rows):
-    part = getattr(cfg, PART_OF[section])._replace(**{section: rows})
-    return cfg._replace(**{PART_OF[section]: part})
+def _replace_section(cfg, section, entries):
+    part = getattr(cfg, PART_BY_SECTION[section])._replace(**{section: entries})
+    return cfg._replace(**{PART_BY_SECTION[section]: part})
 
 
 def find_overlaps(base, changes, current):
-    """Return the changed entries that someone else changed too, and differently."""
+    """Return an Overlap for each changed entry that ``current`` changed differently."""
     overlaps = []
     for section, name, ours in changes:
-        before = list_entries(base, section).get(name)
-        theirs = list_entries(current, section).get(name)
+        before = index_entries(base, section).get(name)
+        theirs = index_entries(current, section).get(name)
         if theirs not in (before, ours):
-            sides = [_to_plain(item) for item in (before, ours, theirs)]
+            sides = [_to_plain_or_none(item) for item in (before, ours, theirs)]
             overlaps.append(Overlap(section, name, *sides))
     return tuple(overlaps)
 
 
-def _to_plain(item):
+def _to_plain_or_none(item):
     return None if item is None else to_plain(item)
 
 
 def set_values(base, settings, removals):
-    """Return the checked configuration with ``section.name.key=value`` lines applied.
+    """Return the checked configuration after settings and removals.
 
-    A value is read as JSON, or taken as a text if it isn't JSON. A name may hold dots:
-    the section ends at the first dot and the key begins after the last one.
+    A setting is ``section.name.key=value``, a removal ``section.name``. A value that
+    isn't JSON is used as a string. A name may contain dots: the section ends at the
+    first dot and the key begins after the last one. Raises BadConfiguration.
     """
     tables = {}
     for line in settings:
-        section, name, key, value = _split_setting(line)
-        found = list_entries(base, section).get(name)
+        section, name, key, value = _parse_setting(line)
+        found = index_entries(base, section).get(name)
         table = tables.setdefault(
             (section, name), to_plain(found) if found else {"name": name}
         )
         table[key] = value
-    changes = [_split_removal(base, path) for path in removals]
+    changes = [_parse_removal(base, path) for path in removals]
     changes += [
         Change(section, name, read_entry(SHAPES[section], table, f"{section}.{name}"))
         for (section, name), table in tables.items()
@@ -108,41 +113,41 @@
     return check_configuration(apply_changes(base, changes))
 
 
-def _split_setting(line):
-    path, equals, text = line.partition("=")
+def _parse_setting(line):
+    path, separator, text = line.partition("=")
     section, _, rest = path.partition(".")
     name, _, key = rest.rpartition(".")
-    if not (equals and name and key):
+    if not (separator and name and key):
         fail(line, "not section.name.key=value")
     _check_section(section)
     if key == "name":
         fail(path, "a name can't be changed; remove the entry and add another")
-    return section, name, key, _read_value(text)
+    return section, name, key, _parse_value(text)
 
 
-def _read_value(text):
+def _parse_value(text):
     try:
         return json.loads(text)
     except ValueError:
         return text
 
 
-def _split_removal(base, path):
+def _parse_removal(base, path):
     section, _, name = path.partition(".")
     _check_section(section)
-    if name not in list_entries(base, section):
+    if name not in index_entries(base, section):
         fail(path, "no such entry")
     return Change(section, name)
 
 
 def _check_section(section):
-    if section not in PART_OF:
-        fail(section, f"not one of {', '.join(PART_OF)}")
+    if section not in PART_BY_SECTION:
+        fail(section, f"not one of {', '.join(PART_BY_SECTION)}")
 
 
 def describe_change(base, change):
-    """Return one line a change for people: what is removed, added or changed."""
-    before = list_entries(base, change.section).get(change.name)
+    """Return one line of text that shows what a change removes, adds or replaces."""
+    before = index_entries(base, change.section).get(change.name)
     label = f"{change.section}.{change.name}"
     if change.value is None:
         return f"- {label}"
--- a/src/chervilwing/cli.py
+++ b/src/chervilwing/cli.py
@@ -1,4 +1,4 @@
-"""The operators' tool ``chervilwing``: wiring of its commands."""
+"""Define the command line of the operators' tool ``chervilwing``."""
 
 import os
 import sys
@@ -7,9 +7,9 @@
 import typer
 
 from . import fleet_commands
-from .clients import Links
+from .clients import Options
 from .config_commands import config_app, make_part_app
-from .console import EXIT_HELP, Json, quit_with, show
+from .console import EXIT_HELP, JsonOption, quit_with, show
 from .documents import hash_key
 from .exceptions import BadSetting
 from .settings import parse_addresses, parse_optional_address
@@ -30,27 +30,31 @@
         str, typer.Option(envvar="CHERVILWING_STORE", help="HOST:PORT")
     ] = "",
     instance: Annotated[
-        list[str] | None, typer.Option(help="HOST:PORT of an entry instance; repeat it")
+        list[str] | None,
+        typer.Option(help="HOST:PORT of an entry instance; may be repeated"),
     ] = None,
     instance_list: Annotated[
         str,
         typer.Option("--list", envvar="CHERVILWING_INSTANCE_LIST", help="HOST:PORT"),
     ] = "",
-    timeout: Annotated[float, typer.Option(min=0.01, help="seconds for a call")] = 5.0,
+    timeout: Annotated[
+        float, typer.Option(min=0.01, help="seconds for each call")
+    ] = 5.0,
     pause: Annotated[
-        float, typer.Option(min=0, help="seconds between two tries")
+        float, typer.Option(min=0, help="seconds between two attempts")
     ] = 1.0,
 ):
-    """Edit the configuration of chervilwing and see what its instances do."""
-    named = ",".join(instance or ()) or os.environ.get("CHERVILWING_INSTANCES", "")
+    """Edit the configuration of chervilwing and show the state of its instances."""
+    addresses = ",".join(instance or ()) or os.environ.get("CHERVILWING_INSTANCES", "")
     try:
-        ctx.obj = Links(
+        ctx.obj = Options(
             store=parse_optional_address(store),
-            instances=parse_addresses(named),
+            instances=parse_addresses(addresses),
             instance_list=parse_optional_address(instance_list),
             timeout=timeout,
             pause=pause,
-            # From the environment only: other users can read arguments.
+            # Read from the environment only: other users of the machine can read the
+            # arguments of a process.
             operator_key=os.environ.get("CHERVILWING_OPERATOR_KEY", ""),
         )
     except ValueError as exc:
@@ -58,10 +62,10 @@
 
 
 @key_app.command("hash")
-def hash_from_stdin(as_json: Json = False):
-    """Read an API key from stdin and print the digest for the rules.
+def hash_from_stdin(as_json: JsonOption = False):
+    """Read an API key from stdin and print its digest for ``key_hashes`` in the rules.
 
-    Not as an argument: other users of the machine can read those.
+    The key is not an argument, as other users of the machine can read arguments.
     """
     digest = hash_key(sys.stdin.readline().strip())
     show({"key_hash": digest}, as_json, lambda: digest)
@@ -76,7 +80,7 @@
 
 
 def main():
-    """Run the tool."""
+    """Run the operators' tool."""
     app()
 
 
--- a/src/chervilwing/clients.py
+++ b/src/chervilwing/clients.py
@@ -1,4 +1,7 @@
-"""Blocking calls of the operators' tool to the platform and to entry instances."""
+"""Send the blocking HTTP requests of the operators' tool.
+
+They go to the key-value service, the instance list and the entry instances.
+"""
 
 import http.client
 import json
@@ -9,9 +12,9 @@
 from returns.result import Failure, Result, Success
 
 from .addresses import format_address
-from .changes import EMPTY
+from .changes import EMPTY_CONFIGURATION
 from .documents import CONFIG_KEY, HISTORY_PREFIX
-from .edits import Done, history_key
+from .edits import Done, make_history_key
 from .exceptions import (
     NOT_RUN,
     ChervilwingError,
@@ -23,22 +26,23 @@
 from .models import Address
 from .stores import ENCODERS, decode
 
-ENTRY = "entry"
+ENTRY_ROLE = "entry"
 STATUS_KEYS = ("name", "data_centre", "revision", "ready", "in_flight", "version")
 UPSTREAM_KEYS = ("name", "pool", "data_centre", "state")
-# The largest value is a megabyte and JSON may double it; a wrong server may send more.
-BODY_LIMIT = 8 * 1024 * 1024
+# The largest stored value is a megabyte and its JSON form may be twice as long. Bounds
+# the memory if the address is wrong and another server sends an endless response.
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
 
-class Answer(NamedTuple):
-    """Status and body of an HTTP answer."""
+class Response(NamedTuple):
+    """Status and body of an HTTP response."""
 
     status: int
     body: bytes
 
 
-class Links(NamedTuple):
-    """Where the tool's calls go; times in seconds."""
+class Options(NamedTuple):
+    """Options of all commands: addresses, times in seconds, and the operators' key."""
 
     store: Address | None = None
     instances: tuple[Address, ...] = ()
@@ -48,26 +52,29 @@
     operator_key: str = ""
 
 
-def call(
-    address, method, path, body, timeout, key=""
-) -> Result[Answer, ChervilwingError]:
-    """Make one call on a connection of its own; never repeated here."""
+def send_request(
+    address, method, path, body, timeout, operator_key=""
+) -> Result[Response, ChervilwingError]:
+    """Send one request on a new connection and return its Response.
+
+    Returns a Failure if no complete response arrives; never retries.
+    """
     headers = {"Content-Type": "application/json"}
-    if key:
-        headers["Authorization"] = f"Bearer {key}"
+    if operator_key:
+        headers["Authorization"] = f"Bearer {operator_key}"
     conn = http.client.HTTPConnection(address.host, address.port, timeout=timeout)
     data = None if body is None else json.dumps(body)
     try:
         conn.request(method, path, data, headers)
         response = conn.getresponse()
-        content = response.read(BODY_LIMIT + 1)
+        content = response.read(MAX_RESPONSE_BYTES + 1)
     except (OSError, http.client.HTTPException) as exc:
         return Failure(_make_unreachable(address, type(exc).__name__))
     finally:
         conn.close()
-    if len(content) > BODY_LIMIT:
+    if len(content) > MAX_RESPONSE_BYTES:
         return Failure(_make_unreachable(address, "answer too large"))
-    return Success(Answer(response.status, content))
+    return Success(Response(response.status, content))
 
 
 def _make_unreachable(address, reason):
@@ -75,153 +82,161 @@
     return Unreachable(f"{scope.name}: {reason}", scope=scope)
 
 
-def call_json(address, method, path, body, timeout, key="") -> Result:
-    """Return the JSON table of an answer; Failure unless its status is 2xx."""
-    return call(address, method, path, body, timeout, key).bind(
-        lambda answer: _read_table(address, answer)
+def request_json(address, method, path, body, timeout, operator_key="") -> Result:
+    """Return the JSON object of a response; Failure unless its status is 2xx."""
+    return send_request(address, method, path, body, timeout, operator_key).bind(
+        lambda response: _decode_object(address, response)
     )
 
 
-def _read_table(address, answer):
+def _decode_object(address, response):
     try:
-        table = json.loads(answer.body or b"{}")
+        payload = json.loads(response.body or b"{}")
     except ValueError:
-        table = None
-    if not 200 <= answer.status < 300:
-        detail = table.get("detail", "") if isinstance(table, dict) else ""
-        return Failure(_make_unreachable(address, f"{answer.status} {detail}".strip()))
-    if not isinstance(table, dict):
-        return Failure(_make_unreachable(address, "the answer isn't a JSON table"))
-    return Success(table)
+        payload = None
+    if not 200 <= response.status < 300:
+        detail = payload.get("detail", "") if isinstance(payload, dict) else ""
+        return Failure(
+            _make_unreachable(address, f"{response.status} {detail}".strip())
+        )
+    if not isinstance(payload, dict):
+        return Failure(_make_unreachable(address, "the answer isn't a JSON object"))
+    return Success(payload)
 
 
-def ask_store(links, request) -> StoreReply:
-    """Send one request to the key-value service; every failure is Unanswered."""
+def send_store_request(options, request) -> StoreReply:
+    """Return the reply of the key-value service; Unanswered after any failure."""
     method, path, body = ENCODERS[type(request)](request)
-    result = call(links.store, method, path, body, links.timeout)
+    result = send_request(options.store, method, path, body, options.timeout)
     return result.map(
-        lambda answer: decode(request, answer.status, answer.body)
+        lambda response: decode(request, response.status, response.body)
     ).value_or(Unanswered())
 
 
-def drive(links, commit) -> Result:
-    """Run a Commit to its end, with a pause before each repeated request."""
+def run_commit(options, commit) -> Result:
+    """Execute the requests of a Commit and return its result.
+
+    Pauses before each request that is sent again.
+    """
     step = commit.start()
     while not isinstance(step, Done):
-        reply = ask_store(links, step)
+        reply = send_store_request(options, step)
         if isinstance(reply, Unanswered):
-            time.sleep(links.pause)
+            time.sleep(options.pause)
         step = commit.receive(reply)
     return step.result
 
 
-def read_value(links, key) -> Result[str | None, ChervilwingError]:
-    """Return the value of a key, or None if there is none."""
-    reply = ask_store(links, Read(key))
+def read_value(options, key) -> Result[str | None, ChervilwingError]:
+    """Return the value of a key, or None if the key doesn't exist."""
+    reply = send_store_request(options, Read(key))
     if isinstance(reply, Unanswered):
-        return Failure(_make_store_down(links))
+        return Failure(_make_store_failure(options))
     return Success(None if isinstance(reply, Missing) else reply.value)
 
 
-def _make_store_down(links):
-    where = format_address(links.store)
-    return PlatformDown(f"key-value service at {where}: no answer", outcome=NOT_RUN)
+def _make_store_failure(options):
+    address = format_address(options.store)
+    return PlatformDown(f"key-value service at {address}: no answer", outcome=NOT_RUN)
 
 
-def _parse_with(parse, address):
-    """Return a function that parses a table; what it can't read is Unreachable."""
+def _make_checked_parser(parse, address):
+    """Return ``parse`` wrapped to return Unreachable if the payload is malformed."""
 
-    def read(table):
+    def parse_checked(payload):
         try:
-            return Success(parse(table))
+            return Success(parse(payload))
         except (KeyError, TypeError, ValueError, AttributeError):
             return Failure(_make_unreachable(address, "unexpected answer"))
 
-    return read
+    return parse_checked
 
 
-def list_revisions(links) -> Result[tuple[int, ...], ChervilwingError]:
-    """Return the replaced revisions that the history keeps, oldest first."""
+def list_revisions(options) -> Result[tuple[int, ...], ChervilwingError]:
+    """Return the numbers of the replaced revisions in the history, oldest first."""
     path = "/keys?" + urlencode({"prefix": HISTORY_PREFIX})
-    result = call_json(links.store, "GET", path, None, links.timeout)
-    return result.bind(_parse_with(_parse_revisions, links.store))
+    result = request_json(options.store, "GET", path, None, options.timeout)
+    return result.bind(_make_checked_parser(_parse_revisions, options.store))
 
 
-def _parse_revisions(table):
-    names = (row["key"].removeprefix(HISTORY_PREFIX) for row in table["keys"])
+def _parse_revisions(payload):
+    names = (row["key"].removeprefix(HISTORY_PREFIX) for row in payload["keys"])
     return tuple(sorted(int(name) for name in names))
 
 
-def delete_revision(links, revision) -> Result:
+def delete_revision(options, revision) -> Result:
     """Delete one replaced revision from the history."""
-    key = quote(history_key(revision), safe="/")
-    read = call_json(links.store, "GET", f"/kv/{key}", None, links.timeout)
-    return read.bind(
-        lambda table: call_json(
-            links.store,
+    key = quote(make_history_key(revision), safe="/")
+    found = request_json(options.store, "GET", f"/kv/{key}", None, options.timeout)
+    return found.bind(
+        lambda payload: request_json(
+            options.store,
             "DELETE",
             f"/kv/{key}",
-            {"expect": table.get("version", ABSENT)},
-            links.timeout,
+            {"expect": payload.get("version", ABSENT)},
+            options.timeout,
         )
     )
 
 
-def make_empty(links) -> Result:
-    """Return what stands for a missing configuration.
+def make_empty_configuration(options) -> Result:
+    """Return an empty configuration to edit when none is stored.
 
-    Its revision follows the history: instances hold the revision that was deleted and
-    would ignore a lower one.
+    If the history shows that one was deleted, the empty configuration gets the deleted
+    revision's number. Instances keep using the deleted revision and ignore lower ones,
+    so the next edit must get a higher number.
     """
-    return list_revisions(links).map(
+    return list_revisions(options).map(
         lambda revisions: (
-            EMPTY._replace(revision=revisions[-1] + 1) if revisions else EMPTY
+            EMPTY_CONFIGURATION._replace(revision=revisions[-1] + 1)
+            if revisions
+            else EMPTY_CONFIGURATION
         )
     )
 
 
-def read_current(links) -> Result[str | None, ChervilwingError]:
+def read_configuration_text(options) -> Result[str | None, ChervilwingError]:
     """Return the stored configuration's text, or None if there is none."""
-    return read_value(links, CONFIG_KEY)
+    return read_value(options, CONFIG_KEY)
 
 
-def list_instances(links) -> Result[tuple[Address, ...], ChervilwingError]:
-    """Return the entry instances that are named, or else those on the list."""
-    if links.instances or links.instance_list is None:
-        return Success(links.instances)
-    result = call_json(links.instance_list, "GET", "/list", None, links.timeout)
-    return result.bind(_parse_with(_parse_entries, links.instance_list))
+def list_instances(options) -> Result[tuple[Address, ...], ChervilwingError]:
+    """Return the entry instances given as options, or else those on the list."""
+    if options.instances or options.instance_list is None:
+        return Success(options.instances)
+    result = request_json(options.instance_list, "GET", "/list", None, options.timeout)
+    return result.bind(_make_checked_parser(_parse_entries, options.instance_list))
 
 
-def _parse_entries(table):
-    rows = (row for row in table["instances"] if row["role"] == ENTRY)
+def _parse_entries(payload):
+    rows = (row for row in payload["instances"] if row["role"] == ENTRY_ROLE)
     return tuple(Address(row["host"], int(row["port"])) for row in rows)
 
 
-def _call_instance(links, address, method, path, body=None):
-    # Only instances get the operators' key; the platform has no use for it.
-    key = links.operator_key
-    return call_json(address, method, path, body, links.timeout, key)
+def _request_instance(options, address, method, path, body=None):
+    # The platform's services don't check the operators' key, so it isn't sent there.
+    operator_key = options.operator_key
+    return request_json(address, method, path, body, options.timeout, operator_key)
 
 
-def ask_histograms(links, address) -> Result:
-    """Return an entry instance's report of histograms."""
-    return _call_instance(links, address, "GET", "/-/histograms")
+def fetch_histograms(options, address) -> Result:
+    """Return an entry instance's report of its latency histograms and counters."""
+    return _request_instance(options, address, "GET", "/-/histograms")
 
 
-def ask_status(links, address) -> Result:
-    """Return what an entry instance says of itself, with the keys that we read."""
-    result = _call_instance(links, address, "GET", "/-/status")
-    return result.bind(_parse_with(_parse_status, address))
+def fetch_status(options, address) -> Result:
+    """Return the status of an entry instance: STATUS_KEYS and its upstreams."""
+    result = _request_instance(options, address, "GET", "/-/status")
+    return result.bind(_make_checked_parser(_parse_status, address))
 
 
-def _parse_status(table):
+def _parse_status(payload):
     upstreams = [
-        {key: str(row[key]) for key in UPSTREAM_KEYS} for row in table["upstreams"]
+        {key: str(row[key]) for key in UPSTREAM_KEYS} for row in payload["upstreams"]
     ]
-    return {**{key: table[key] for key in STATUS_KEYS}, "upstreams": upstreams}
+    return {**{key: payload[key] for key in STATUS_KEYS}, "upstreams": upstreams}
 
 
-def drain_instance(links, address, name) -> Result:
-    """Ask an instance to stop gracefully; it refuses if the name isn't its own."""
-    return _call_instance(links, address, "POST", "/-/drain", {"name": name})
+def request_drain(options, address, name) -> Result:
+    """Ask an instance to stop gracefully; it refuses if its name isn't ``name``."""
+    return _request_instance(options, address, "POST", "/-/drain", {"name": name})
--- a/src/chervilwing/config_commands.py
+++ b/src/chervilwing/config_commands.py
@@ -7,8 +7,22 @@
 import typer
 
 from . import clients
-from .changes import EMPTY, PART_OF, describe_change, find_changes, set_values
-from .console import Author, DryRun, Json, need_store, quit_with, show, take
+from .changes import (
+    EMPTY_CONFIGURATION,
+    PART_BY_SECTION,
+    describe_change,
+    find_changes,
+    set_values,
+)
+from .console import (
+    AuthorOption,
+    DryRunOption,
+    JsonOption,
+    quit_with,
+    require_store,
+    show,
+    unwrap_or_quit,
+)
 from .documents import (
     PartFile,
     check_configuration,
@@ -16,46 +30,51 @@
     parse_file,
     render_file,
 )
-from .edits import Commit, Edit, history_key
+from .edits import Commit, Edit, make_history_key
 from .exceptions import BadConfiguration, NotFound
 from .shapes import to_plain
 from .tables import render_rows
 
-File = Annotated[typer.FileText, typer.Argument(help="TOML; - for stdin")]
+TomlArgument = Annotated[typer.FileText, typer.Argument(help="TOML; - for stdin")]
 
 config_app = typer.Typer(no_args_is_help=True, help="Revisions of the configuration.")
 
 
-def load_current(links, as_json):
-    """Return the stored configuration, or an empty one."""
-    text = take(clients.read_current(links), as_json)
+def load_current(options, as_json):
+    """Return the stored configuration, or an empty one if none is stored."""
+    text = unwrap_or_quit(clients.read_configuration_text(options), as_json)
     if text is None:
-        return take(clients.make_empty(links), as_json)
-    return take(parse_document(text), as_json)
+        return unwrap_or_quit(clients.make_empty_configuration(options), as_json)
+    return unwrap_or_quit(parse_document(text), as_json)
 
 
-def load_revision(links, revision, current, as_json):
-    """Return a configuration by its revision, from the current value or history."""
+def load_revision(options, revision, current, as_json):
+    """Return the configuration of a revision; None stands for the current one."""
     if revision in (None, current.revision):
         return current
-    text = take(clients.read_value(links, history_key(revision)), as_json)
+    text = unwrap_or_quit(
+        clients.read_value(options, make_history_key(revision)), as_json
+    )
     if text is None:
         quit_with(NotFound(f"revision {revision} is not in the history"), as_json)
-    return take(parse_document(text), as_json)
+    return unwrap_or_quit(parse_document(text), as_json)
 
 
-def commit(links, current, base, wanted, author, dry_run, as_json):
-    """Show the changes from ``base`` to ``wanted`` and write them."""
-    changes = find_changes(base, wanted)
+def commit_changes(options, current, base, desired, author, dry_run, as_json):
+    """Commit the changes from ``base`` to ``desired`` as a new revision.
+
+    Prints the changes; with ``dry_run`` it writes nothing.
+    """
+    changes = find_changes(base, desired)
     lines = [describe_change(base, change) for change in changes]
     if dry_run:
         value = {"revision": base.revision, "changes": lines}
         return show(value, as_json, lambda: "\n".join(lines) or "no change")
-    at = datetime.now(UTC).isoformat(timespec="seconds")
-    edit = Edit(base, changes, str(uuid4()), author, at)
-    # Only a configuration that isn't stored has no operation.
-    empty = EMPTY if current.operation else current
-    done = take(clients.drive(links, Commit(edit, empty)), as_json)
+    written_at = datetime.now(UTC).isoformat(timespec="seconds")
+    edit = Edit(base, changes, str(uuid4()), author, written_at)
+    # A current configuration without an operation id is the empty one: none is stored.
+    empty = EMPTY_CONFIGURATION if current.operation else current
+    done = unwrap_or_quit(clients.run_commit(options, Commit(edit, empty)), as_json)
     value = {
         "revision": done.configuration.revision,
         "operation": done.configuration.operation,
@@ -69,12 +88,12 @@
 def _describe_commit(done):
     revision = done.configuration.revision
     if not done.changed:
-        return f"revision {revision} holds this already"
-    others = ", on top of another operator's edit" if done.rebased else ""
-    return f"revision {revision} written{others}"
+        return f"revision {revision} already has these values"
+    suffix = ", on top of another operator's edit" if done.rebased else ""
+    return f"revision {revision} written{suffix}"
 
 
-def _check(cfg, as_json):
+def _check_or_quit(cfg, as_json):
     try:
         return check_configuration(cfg)
     except BadConfiguration as exc:
@@ -82,19 +101,19 @@
 
 
 def make_part_app(name):
-    """Return the commands show, edit and apply of ``inventory`` or ``rules``."""
+    """Return the commands show, edit and apply for ``inventory`` or ``rules``."""
     part_app = typer.Typer(no_args_is_help=True, help=f"The {name}.")
 
     @part_app.command("show")
     def show_part(
         ctx: typer.Context,
-        revision: Annotated[int | None, typer.Option(help="an older one")] = None,
-        as_json: Json = False,
+        revision: Annotated[int | None, typer.Option(help="an older revision")] = None,
+        as_json: JsonOption = False,
     ):
-        """Print it in the file format that ``apply`` reads."""
-        links = need_store(ctx)
-        current = load_current(links, as_json)
-        cfg = load_revision(links, revision, current, as_json)
+        """Print the stored revision, or an older one, in the format ``apply`` reads."""
+        options = require_store(ctx)
+        current = load_current(options, as_json)
+        cfg = load_revision(options, revision, current, as_json)
         part = getattr(cfg, name)
         value = {"revision": cfg.revision, name: to_plain(part)}
         show(value, as_json, lambda: render_file(PartFile(cfg.revision, part)))
@@ -108,32 +127,32 @@
         removals: Annotated[
             list[str] | None, typer.Option("--remove", help="section.name")
         ] = None,
-        author: Author = "",
-        dry_run: DryRun = False,
-        as_json: Json = False,
+        author: AuthorOption = "",
+        dry_run: DryRunOption = False,
+        as_json: JsonOption = False,
     ):
         """Set keys of named entries, add entries by their keys, or remove entries."""
-        links = need_store(ctx)
-        current = load_current(links, as_json)
+        options = require_store(ctx)
+        current = load_current(options, as_json)
         try:
             _refuse_other_part(name, [*(settings or ()), *(removals or ())])
-            wanted = set_values(current, settings or (), removals or ())
+            desired = set_values(current, settings or (), removals or ())
         except BadConfiguration as exc:
             quit_with(exc, as_json)
-        commit(links, current, current, wanted, author, dry_run, as_json)
+        commit_changes(options, current, current, desired, author, dry_run, as_json)
 
     @part_app.command("apply")
     def apply_part(
         ctx: typer.Context,
-        file: File,
-        author: Author = "",
-        dry_run: DryRun = False,
-        as_json: Json = False,
+        file: TomlArgument,
+        author: AuthorOption = "",
+        dry_run: DryRunOption = False,
+        as_json: JsonOption = False,
     ):
-        """Make the stored one like a file.
+        """Replace the stored content by a file's.
 
-        With ``revision`` in the file, edits made by others since then stay; without
-        it the file replaces what stands.
+        With ``revision`` in the file, edits that others made since that revision are
+        kept; without it the file replaces the current content.
         """
         apply_files(ctx, {name: file}, author, dry_run, as_json)
 
@@ -143,39 +162,40 @@
 def _refuse_other_part(name, paths):
     for path in paths:
         section = path.partition(".")[0]
-        if PART_OF.get(section, name) != name:
-            raise BadConfiguration(f"{section}: belongs to {PART_OF[section]}")
+        if PART_BY_SECTION.get(section, name) != name:
+            raise BadConfiguration(f"{section}: belongs to {PART_BY_SECTION[section]}")
 
 
 def apply_files(ctx, files, author, dry_run, as_json):
-    """Make the stored parts like files; all in one revision."""
-    links = need_store(ctx)
+    """Replace parts of the configuration by files, given by part name, in one edit."""
+    options = require_store(ctx)
     parsed = {
-        name: take(parse_file(name, file.read()), as_json)
+        name: unwrap_or_quit(parse_file(name, file.read()), as_json)
         for name, file in files.items()
     }
     revisions = {file.revision for file in parsed.values()}
     if len(revisions) > 1:
         quit_with(BadConfiguration("revision: differs between the files"), as_json)
-    current = load_current(links, as_json)
-    base = load_revision(links, revisions.pop(), current, as_json)
+    current = load_current(options, as_json)
+    base = load_revision(options, revisions.pop(), current, as_json)
     parts = {name: file.part for name, file in parsed.items()}
-    wanted = _check(base._replace(**parts), as_json)
-    commit(links, current, base, wanted, author, dry_run, as_json)
+    desired = _check_or_quit(base._replace(**parts), as_json)
+    commit_changes(options, current, base, desired, author, dry_run, as_json)
 
 
 @config_app.command("apply")
 def apply_both(
     ctx: typer.Context,
-    inventory: File,
-    rules: File,
-    author: Author = "",
-    dry_run: DryRun = False,
-    as_json: Json = False,
+    inventory: TomlArgument,
+    rules: TomlArgument,
+    author: AuthorOption = "",
+    dry_run: DryRunOption = False,
+    as_json: JsonOption = False,
 ):
-    """Make inventory and rules like two files, in one revision.
+    """Replace inventory and rules by two files, in one revision.
 
-    The way to start: services name classes of the rules, and routes name pools.
+    Use it for the first configuration: services refer to classes of the rules, and
+    routes to pools of the inventory, so neither part is valid alone.
     """
     files = {"inventory": inventory, "rules": rules}
     apply_files(ctx, files, author, dry_run, as_json)
@@ -186,16 +206,16 @@
     ctx: typer.Context,
     limit: Annotated[int, typer.Option(min=1)] = 20,
     operation: Annotated[str, typer.Option(help="only this operation")] = "",
-    as_json: Json = False,
+    as_json: JsonOption = False,
 ):
     """List the revisions, newest first."""
-    links = need_store(ctx)
-    current = load_current(links, as_json)
-    kept = take(clients.list_revisions(links), as_json)
-    older = sorted((n for n in kept if n < current.revision), reverse=True)
+    options = require_store(ctx)
+    current = load_current(options, as_json)
+    revisions = unwrap_or_quit(clients.list_revisions(options), as_json)
+    older = sorted((n for n in revisions if n < current.revision), reverse=True)
     rows = [_describe_revision(current)] if current.operation else []
     for revision in older[: max(0, limit - len(rows))]:
-        cfg = load_revision(links, revision, current, as_json)
+        cfg = load_revision(options, revision, current, as_json)
         rows.append(_describe_revision(cfg))
     rows = [row for row in rows if operation in ("", row["operation"])]
     columns = ("revision", "at", "author", "operation")
@@ -215,27 +235,27 @@
 def rollback(
     ctx: typer.Context,
     revision: int,
-    author: Author = "",
-    dry_run: DryRun = False,
-    as_json: Json = False,
+    author: AuthorOption = "",
+    dry_run: DryRunOption = False,
+    as_json: JsonOption = False,
 ):
-    """Write an old revision's content as a new revision."""
-    links = need_store(ctx)
-    current = load_current(links, as_json)
-    old = load_revision(links, revision, current, as_json)
-    commit(links, current, current, old, author, dry_run, as_json)
+    """Write the content of an old revision as a new revision."""
+    options = require_store(ctx)
+    current = load_current(options, as_json)
+    old = load_revision(options, revision, current, as_json)
+    commit_changes(options, current, current, old, author, dry_run, as_json)
 
 
 @config_app.command()
 def prune(
     ctx: typer.Context,
     keep: Annotated[int, typer.Option(min=100, help="revisions to keep")] = 1000,
-    as_json: Json = False,
+    as_json: JsonOption = False,
 ):
     """Delete the oldest replaced revisions from the history."""
-    links = need_store(ctx)
-    surplus = take(clients.list_revisions(links), as_json)[:-keep]
+    options = require_store(ctx)
+    surplus = unwrap_or_quit(clients.list_revisions(options), as_json)[:-keep]
     for revision in surplus:
-        take(clients.delete_revision(links, revision), as_json)
+        unwrap_or_quit(clients.delete_revision(options, revision), as_json)
     value = {"deleted": len(surplus)}
     show(value, as_json, lambda: f"{len(surplus)} revisions deleted")
--- a/src/chervilwing/console.py
+++ b/src/chervilwing/console.py
@@ -1,4 +1,4 @@
-"""What all commands of the operators' tool share: printing, failures, exit codes."""
+"""Options, output, failures and exit codes common to all commands."""
 
 import json
 import sys
@@ -19,7 +19,7 @@
 from .tables import render_overlaps
 
 OK, FAILED, USAGE, CONFLICT, UNREACHABLE, IN_DOUBT, BAD_DOCUMENT, LAGGING = range(8)
-# The first row that fits a failure gives the exit code.
+# The first row whose type matches the failure gives the exit code.
 EXIT_CODES = (
     (BadSetting, USAGE),
     (BadConfiguration, BAD_DOCUMENT),
@@ -30,16 +30,18 @@
 )
 EXIT_HELP = (
     "Exit codes: 0 done, 1 failed, 2 usage or bad setting, 3 conflict, 4 unreachable, "
-    "5 in doubt (the edit may stand), 6 bad document, 7 an instance lags behind."
+    "5 in doubt (the edit may be stored), 6 bad document, 7 an instance lags behind."
 )
 
-Json = Annotated[bool, typer.Option("--json", help="Print JSON.")]
-DryRun = Annotated[bool, typer.Option(help="Show the changes and write nothing.")]
-Author = Annotated[str, typer.Option(envvar="USER", help="Kept with the revision.")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
+DryRunOption = Annotated[bool, typer.Option(help="Show the changes and write nothing.")]
+AuthorOption = Annotated[
+    str, typer.Option(envvar="USER", help="Stored with the revision.")
+]
 
 
 def quit_with(exc, as_json=False):
-    """Print a failure on stderr and exit with its code."""
+    """Print a failure on stderr and exit with the exit code of its type."""
     if as_json:
         print(json.dumps(_describe_failure(exc)), file=sys.stderr)
     else:
@@ -66,20 +68,20 @@
     return next(code for type_, code in EXIT_CODES if isinstance(exc, type_))
 
 
-def take(result, as_json=False):
-    """Return the value of a Result, or quit with its failure."""
+def unwrap_or_quit(result, as_json=False):
+    """Return the value of a Result, or print its failure and exit."""
     if not is_successful(result):
         quit_with(result.failure(), as_json)
     return result.unwrap()
 
 
-def show(value, as_json, text):
-    """Print a value as JSON, or the text that ``text()`` gives."""
-    print(json.dumps(value) if as_json else text())
+def show(value, as_json, render):
+    """Print ``value`` as JSON, or else the text that ``render()`` returns."""
+    print(json.dumps(value) if as_json else render())
 
 
-def need_store(ctx):
-    """Return the links, or quit if no key-value service is named."""
+def require_store(ctx):
+    """Return the options; exit if they give no address of the key-value service."""
     if ctx.obj.store is None:
         quit_with(BadSetting("--store or CHERVILWING_STORE: needed"))
     return ctx.obj
--- a/src/chervilwing/edits.py
+++ b/src/chervilwing/edits.py
@@ -1,8 +1,10 @@
-"""Commit an edit of the configuration: store replies in, store requests out.
+"""Commit an edit of the configuration to the key-value service, without I/O.
 
-The value under CONFIG_KEY is replaced by compare-and-swap. Before revision N is
-replaced it is copied to history, so the history has no gap whenever a writer dies, and
-a writer whose answer was lost finds its operation in the current value or in history.
+``Commit`` is a state machine: its caller sends each request that it returns and passes
+it the reply. The value under CONFIG_KEY is replaced by compare-and-swap. Before
+revision N is replaced it is copied to the history. So the history has no gap even if a
+writer dies in between, and a writer that got no reply can look for its operation id in
+the current value and in the history.
 """
 
 from typing import NamedTuple
@@ -11,7 +13,7 @@
 from returns.result import Failure, Result, Success
 
 from .changes import (
-    EMPTY,
+    EMPTY_CONFIGURATION,
     Change,
     apply_changes,
     find_changes,
@@ -46,20 +48,20 @@
 )
 from .models import Configuration
 
-STORE = Scope("platform", "key-value service")
-DOCUMENT = Scope("configuration", CONFIG_KEY)
-# A request is sent this often before the service counts as down: with a pause of a
-# second between tries an operator waits seconds, not minutes.
-TRIES = 4
-# At 580 changes a day (letter 1) two operators rarely meet; this many lost races in a
-# row mean that a script writes without pause.
-ROUNDS = 16
+STORE_SCOPE = Scope("platform", "key-value service")
+CONFIGURATION_SCOPE = Scope("configuration", CONFIG_KEY)
+# How often one request is sent before the service is reported as down. With a pause of
+# a second between attempts an operator waits for seconds, not minutes.
+MAX_SENDS = 4
+# At 580 changes a day two operators rarely write at the same time. So many lost races
+# in a row mean that a script writes without pause.
+MAX_WRITE_ATTEMPTS = 16
 
-READING, ARCHIVING, WRITING, SETTLING = "reading", "archiving", "writing", "settling"
+READING, ARCHIVING, WRITING, VERIFYING = "reading", "archiving", "writing", "settling"
 
 
 class Edit(NamedTuple):
-    """Changes against a base revision, under an operation id of their own."""
+    """Changes to a base revision, with a unique operation id."""
 
     base: Configuration
     changes: tuple[Change, ...]
@@ -69,7 +71,11 @@
 
 
 class Committed(NamedTuple):
-    """The configuration now in the store; not ``changed`` if it stood there before."""
+    """The stored configuration after an edit.
+
+    ``changed`` is false if the store already had the edit's values, ``rebased`` true if
+    the edit was applied on top of a later revision than its base.
+    """
 
     configuration: Configuration
     changed: bool = True
@@ -77,82 +83,86 @@
 
 
 class Done(NamedTuple):
-    """The end of an edit."""
+    """The final result of a Commit, in place of a further request."""
 
     result: Result[Committed, ChervilwingError]
 
 
-def history_key(revision):
-    """Return the key under which a replaced revision is kept."""
+def make_history_key(revision):
+    """Return the key of a replaced revision in the history."""
     return f"{HISTORY_PREFIX}{revision:08d}"
 
 
 class Commit:
-    """State of one edit on its way into the store.
+    """State of one edit while it is committed.
 
-    ``empty`` stands for a store without a configuration. Where history shows that one
-    was deleted, its revision must be the deleted one's: instances hold that revision
-    and would ignore a lower one.
+    ``empty`` is the configuration to edit if none is stored. If the history shows that
+    one was deleted, ``empty`` must have the deleted revision's number: instances keep
+    using the deleted revision and ignore lower ones. ``in_doubt`` is true after a write
+    without a reply, until it is known whether the write took effect.
     """
 
-    def __init__(self, edit, empty=EMPTY):
+    def __init__(self, edit, empty=EMPTY_CONFIGURATION):
         self.edit = edit
         self.current = empty
         self.current_text = ""
         self.version = ABSENT
-        self.wanted = None
-        self.wanted_text = ""
+        self.desired = None
+        self.desired_text = ""
         self.state = READING
         self.request = None
-        self.tries = 0
-        self.rounds = 0
+        self.sends = 0
+        self.write_attempts = 0
         self.in_doubt = False
 
     def start(self) -> StoreRequest | Done:
-        """Return the first request, or Done if the edit is wrong in itself."""
+        """Return the first request, or Done if the edit is invalid on its own base."""
         try:
-            self._make_text(self._merge(self.edit.base))
+            self._serialise_readable(self._apply_edit(self.edit.base))
         except BadConfiguration as exc:
             return Done(Failure(exc))
         return self._send(READING, Read(CONFIG_KEY))
 
     def receive(self, reply) -> StoreRequest | Done:
-        """Return the next request, or Done."""
+        """Return the next request after a reply, or Done."""
         if isinstance(reply, Unanswered):
-            return self._repeat()
+            return self._resend()
         handle = TRANSITIONS.get((self.state, type(reply)))
         if handle is None:
-            return self._give_up(f"{type(reply).__name__} while {self.state}")
+            return self._give_up(
+                f"unexpected {type(reply).__name__} while {self.state}"
+            )
         try:
             return handle(self, reply)
         except (BadConfiguration, EditConflict) as exc:
             return self._give_up(str(exc)) if self.in_doubt else Done(Failure(exc))
 
     def _send(self, state, request):
-        self.state, self.request, self.tries = state, request, 1
+        self.state, self.request, self.sends = state, request, 1
         return request
 
-    def _repeat(self):
-        """Send the same request again.
+    def _resend(self):
+        """Return the same request again, or Done after MAX_SENDS attempts.
 
-        Guards against a write whose answer is lost. The same value under the same
-        expected version can take effect once at most: if the first one did, the second
-        is rejected and shows our operation, or a later revision with ours in history.
+        Resending a write whose reply was lost is safe: the same expected version lets
+        it take effect at most once. If the first one did, the second is rejected, and
+        this edit's operation id is in the current value, or in the history if another
+        revision has followed.
         """
         self.in_doubt = self.in_doubt or self.state == WRITING
-        if self.tries >= TRIES:
+        if self.sends >= MAX_SENDS:
             return self._give_up("no answer")
-        self.tries += 1
+        self.sends += 1
         return self.request
 
     def _give_up(self, reason):
         outcome = UNKNOWN if self.in_doubt else NOT_RUN
         text = f"{reason}; operation {self.edit.operation}"
         if self.in_doubt:
-            text += f" may stand as revision {self.wanted.revision}"
-        return Done(Failure(PlatformDown(text, scope=STORE, outcome=outcome)))
+            text += f" may be stored as revision {self.desired.revision}"
+        return Done(Failure(PlatformDown(text, scope=STORE_SCOPE, outcome=outcome)))
 
-    def _take_current(self, text, version):
+    def _set_current(self, text, version):
         result = parse_document(text)
         if not is_successful(result):
             raise result.failure()
@@ -160,40 +170,48 @@
         self.version = version
 
     def _on_found(self, reply):
-        self._take_current(reply.value, reply.version)
-        return self._plan()
+        self._set_current(reply.value, reply.version)
+        return self._prepare_write()
 
-    def _plan(self):
-        """Check the edit on what stands now, then make its old revision last."""
+    def _prepare_write(self):
+        """Apply the edit to the current revision, then copy that to the history."""
         if self.current.revision and self.current.operation == self.edit.operation:
             return self._finish(self.current)
-        self.rounds += 1
-        if self.rounds > ROUNDS:
-            raise EditConflict(f"lost {ROUNDS} races in a row", scope=DOCUMENT)
-        wanted = self._rebase()
-        if not find_changes(self.current, wanted):
+        self.write_attempts += 1
+        if self.write_attempts > MAX_WRITE_ATTEMPTS:
+            raise EditConflict(
+                f"lost {MAX_WRITE_ATTEMPTS} write races in a row",
+                scope=CONFIGURATION_SCOPE,
+            )
+        desired = self._rebase()
+        if not find_changes(self.current, desired):
             return Done(Success(Committed(self.current, changed=False)))
-        self.wanted, self.wanted_text = wanted, self._make_text(wanted)
+        self.desired, self.desired_text = desired, self._serialise_readable(desired)
         if self.version == ABSENT:
             return self._write()
-        key = history_key(self.current.revision)
+        key = make_history_key(self.current.revision)
         return self._send(ARCHIVING, Write(key, self.current_text, ABSENT))
 
     def _rebase(self):
-        """Return the current configuration with the edit's changes made."""
+        """Return the current configuration with the edit's changes applied.
+
+        Raises EditConflict if another operator changed the same entries, or if both
+        edits together are invalid.
+        """
         edit = self.edit
         overlaps = find_overlaps(edit.base, edit.changes, self.current)
         if overlaps:
             names = ", ".join(f"{item.section}.{item.name}" for item in overlaps)
             raise self._make_conflict(f"{names} changed", overlaps)
-        merged = self._merge(self.current)
+        merged = self._apply_edit(self.current)
         try:
             return check_configuration(merged)
         except BadConfiguration as exc:
-            # Right on its own base, wrong on top of theirs: a pool that they removed.
-            raise self._make_conflict(f"together: {exc}", ()) from exc
+            # The edit is valid on its own base but not on the current revision, for
+            # example because it uses a pool that another operator removed.
+            raise self._make_conflict(f"invalid together: {exc}", ()) from exc
 
-    def _merge(self, cfg):
+    def _apply_edit(self, cfg):
         edit = self.edit
         return apply_changes(cfg, edit.changes)._replace(
             revision=max(cfg.revision, edit.base.revision) + 1,
@@ -202,12 +220,12 @@
             at=edit.at,
         )
 
-    def _make_text(self, cfg):
-        """Return the stored form, read back first.
+    def _serialise_readable(self, cfg):
+        """Return the stored form after checking that it can be parsed.
 
-        Guards against a value that no instance could read, by an author's name with a
-        line break for example: all would stay on the old revision, and no later edit
-        could replace it.
+        An author's name with a line break, for example, would make a value that no
+        instance can parse. All instances would stay on the old revision, and no later
+        edit could replace the value.
         """
         text = serialise(cfg)
         result = parse_document(text)
@@ -216,54 +234,63 @@
         return text
 
     def _make_conflict(self, reason, overlaps):
-        who = self.current.author or "someone"
+        author = self.current.author or "someone"
         text = (
-            f"{reason}: revision {self.current.revision} by {who} against this edit of "
-            f"revision {self.edit.base.revision}"
+            f"{reason}: revision {self.current.revision} by {author} against this "
+            f"edit of revision {self.edit.base.revision}"
         )
-        return EditConflict(text, scope=DOCUMENT, overlaps=overlaps)
+        return EditConflict(text, scope=CONFIGURATION_SCOPE, overlaps=overlaps)
 
     def _on_archived(self, reply):
         return self._write()
 
-    def _on_archive_taken(self, reply):
-        """Go on if another writer, or our own lost try, has archived the same."""
+    def _on_archive_exists(self, reply):
+        """Write the edit if the archived revision has the expected text.
+
+        Another writer archived it, or an earlier request of this edit whose reply was
+        lost.
+        """
         if reply.value != self.current_text:
             raise EditConflict(
-                f"history holds another revision {self.current.revision}",
-                scope=DOCUMENT,
+                f"history holds a different revision {self.current.revision}",
+                scope=CONFIGURATION_SCOPE,
             )
         return self._write()
 
     def _write(self):
-        request = Write(CONFIG_KEY, self.wanted_text, self.version)
+        request = Write(CONFIG_KEY, self.desired_text, self.version)
         return self._send(WRITING, request)
 
     def _on_written(self, reply):
-        return self._finish(self.wanted)
+        return self._finish(self.desired)
 
     def _on_rejected(self, reply):
         if not reply.value:
-            raise EditConflict("the configuration was deleted", scope=DOCUMENT)
-        self._take_current(reply.value, reply.version)
-        replaced = self.current.revision > self.wanted.revision
+            raise EditConflict(
+                "the configuration was deleted", scope=CONFIGURATION_SCOPE
+            )
+        self._set_current(reply.value, reply.version)
+        replaced = self.current.revision > self.desired.revision
         if self.in_doubt and replaced:
-            return self._send(SETTLING, Read(history_key(self.wanted.revision)))
-        return self._settle()
+            return self._send(VERIFYING, Read(make_history_key(self.desired.revision)))
+        return self._prepare_again()
+
+    def _prepare_again(self):
+        """Prepare the write again.
 
-    def _settle(self):
-        """Plan again: the version moved on, so the write in doubt can't land now."""
+        The stored version has changed, so a write in doubt can no longer take effect.
+        """
         self.in_doubt = False
-        return self._plan()
+        return self._prepare_write()
 
-    def _on_history(self, reply):
+    def _on_history_found(self, reply):
         result = parse_document(reply.value)
         if is_successful(result) and result.unwrap().operation == self.edit.operation:
             return self._finish(result.unwrap())
-        return self._settle()
+        return self._prepare_again()
 
-    def _on_no_history(self, reply):
-        return self._settle()
+    def _on_history_missing(self, reply):
+        return self._prepare_again()
 
     def _finish(self, cfg):
         rebased = cfg.revision != self.edit.base.revision + 1
@@ -272,11 +299,11 @@
 
 TRANSITIONS = {
     (READING, Found): Commit._on_found,
-    (READING, Missing): lambda commit, reply: commit._plan(),
+    (READING, Missing): lambda commit, reply: commit._prepare_write(),
     (ARCHIVING, Written): Commit._on_archived,
-    (ARCHIVING, Rejected): Commit._on_archive_taken,
+    (ARCHIVING, Rejected): Commit._on_archive_exists,
     (WRITING, Written): Commit._on_written,
     (WRITING, Rejected): Commit._on_rejected,
-    (SETTLING, Found): Commit._on_history,
-    (SETTLING, Missing): Commit._on_no_history,
+    (VERIFYING, Found): Commit._on_history_found,
+    (VERIFYING, Missing): Commit._on_history_missing,
 }
--- a/src/chervilwing/fleet_commands.py
+++ b/src/chervilwing/fleet_commands.py
@@ -1,4 +1,4 @@
-"""Commands that ask the entry instances."""
+"""Commands that query entry instances or stop them."""
 
 import typer
 from returns.pipeline import is_successful
@@ -9,11 +9,11 @@
 from .console import (
     LAGGING,
     UNREACHABLE,
-    Json,
-    need_store,
+    JsonOption,
     quit_with,
+    require_store,
     show,
-    take,
+    unwrap_or_quit,
 )
 from .exceptions import BadSetting, NotFound
 from .reports import merge_reports, summarise
@@ -21,18 +21,26 @@
 from .tables import render_rows
 
 
-def ask_instances(ctx, ask, as_json):
-    """Return address and Result for each entry instance; quit if none is known."""
-    addresses = take(clients.list_instances(ctx.obj), as_json)
+def query_instances(ctx, fetch, as_json):
+    """Return a pair of address and Result for each entry instance.
+
+    Exits if the options and the list name no instance.
+    """
+    addresses = unwrap_or_quit(clients.list_instances(ctx.obj), as_json)
     if not addresses:
-        quit_with(BadSetting("--instance or --list: needed, or the list is empty"))
-    return [(address, ask(ctx.obj, address)) for address in addresses]
+        quit_with(
+            BadSetting("no entry instances given by --instance or found at --list")
+        )
+    return [(address, fetch(ctx.obj, address)) for address in addresses]
+
 
+def query_status(ctx, as_json):
+    """Return one status row for each entry instance.
 
-def ask_status(ctx, as_json):
-    """Return one row for each entry instance, with the failure of those unreached."""
+    ``failure`` is the error text if the instance can't be reached, else None.
+    """
     rows = []
-    for address, result in ask_instances(ctx, clients.ask_status, as_json):
+    for address, result in query_instances(ctx, clients.fetch_status, as_json):
         row = {"address": format_address(address)}
         row.update(result.value_or({}))
         row["failure"] = None if is_successful(result) else result.failure().detail
@@ -40,17 +48,17 @@
     return rows
 
 
-def quit_unless_reached(rows):
-    """Exit with UNREACHABLE if any instance didn't answer."""
+def quit_if_unreachable(rows):
+    """Exit with UNREACHABLE if any row has a failure."""
     if any(row["failure"] for row in rows):
         raise typer.Exit(UNREACHABLE)
 
 
 @config_app.command()
-def status(ctx: typer.Context, as_json: Json = False):
-    """Show which revision is in force on which instance and data centre."""
-    stored = load_current(need_store(ctx), as_json).revision
-    rows = ask_status(ctx, as_json)
+def status(ctx: typer.Context, as_json: JsonOption = False):
+    """Show the revision in force on each instance, with its data centre."""
+    stored = load_current(require_store(ctx), as_json).revision
+    rows = query_status(ctx, as_json)
     columns = ("name", "address", "data_centre", "revision", "ready", "failure")
     rows = [{name: row.get(name) for name in columns} for row in rows]
     show(
@@ -58,14 +66,14 @@
         as_json,
         lambda: f"stored revision: {stored}\n{render_rows(columns, rows)}",
     )
-    quit_unless_reached(rows)
+    quit_if_unreachable(rows)
     if any(row["revision"] != stored for row in rows):
         raise typer.Exit(LAGGING)
 
 
-def instances(ctx: typer.Context, as_json: Json = False):
+def instances(ctx: typer.Context, as_json: JsonOption = False):
     """Show the entry instances."""
-    rows = ask_status(ctx, as_json)
+    rows = query_status(ctx, as_json)
     columns = (
         "name",
         "address",
@@ -78,49 +86,49 @@
     )
     rows = [{name: row.get(name) for name in columns} for row in rows]
     show(rows, as_json, lambda: render_rows(columns, rows))
-    quit_unless_reached(rows)
+    quit_if_unreachable(rows)
 
 
-def upstreams(ctx: typer.Context, as_json: Json = False):
-    """Show each upstream with its state as each entry instance sees it."""
-    answers = ask_status(ctx, as_json)
+def upstreams(ctx: typer.Context, as_json: JsonOption = False):
+    """Show each upstream and its state according to each entry instance."""
+    status_rows = query_status(ctx, as_json)
     rows = {}
-    for answer in answers:
-        seen_by = answer.get("name") or answer["address"]
-        for item in answer.get("upstreams", ()):
-            row = rows.setdefault(item["name"], {**item, "state": {}})
-            row["state"][seen_by] = item["state"]
+    for status_row in status_rows:
+        instance = status_row.get("name") or status_row["address"]
+        for upstream in status_row.get("upstreams", ()):
+            row = rows.setdefault(upstream["name"], {**upstream, "state": {}})
+            row["state"][instance] = upstream["state"]
     rows = [rows[name] for name in sorted(rows)]
     columns = ("name", "pool", "data_centre", "state")
     show(rows, as_json, lambda: render_rows(columns, rows))
-    quit_unless_reached(answers)
+    quit_if_unreachable(status_rows)
 
 
-def drain(ctx: typer.Context, name: str, as_json: Json = False):
-    """Ask one entry instance to stop without cutting a request."""
-    rows = ask_status(ctx, as_json)
-    found = [row["address"] for row in rows if row.get("name") == name]
-    if not found:
+def drain(ctx: typer.Context, name: str, as_json: JsonOption = False):
+    """Ask one entry instance to stop without interrupting a request."""
+    rows = query_status(ctx, as_json)
+    matches = [row["address"] for row in rows if row.get("name") == name]
+    if not matches:
         failures = [row["failure"] for row in rows if row["failure"]]
         detail = "; ".join([f"no instance {name!r} answers", *failures])
         quit_with(NotFound(detail), as_json)
-    address = parse_optional_address(found[0])
-    take(clients.drain_instance(ctx.obj, address, name), as_json)
+    address = parse_optional_address(matches[0])
+    unwrap_or_quit(clients.request_drain(ctx.obj, address, name), as_json)
     value = {"name": name, "draining": True}
     show(value, as_json, lambda: f"{name} is draining")
 
 
-def stats(ctx: typer.Context, as_json: Json = False):
-    """Show latencies, outcomes and tokens per customer and class, all merged."""
-    asked = ask_instances(ctx, clients.ask_histograms, as_json)
-    answers = [result for _, result in asked]
-    reached = [result.unwrap() for result in answers if is_successful(result)]
-    rows = summarise(take(merge_reports(reached), as_json))
+def stats(ctx: typer.Context, as_json: JsonOption = False):
+    """Show latencies, outcomes and tokens by customer and class, for all instances."""
+    pairs = query_instances(ctx, clients.fetch_histograms, as_json)
+    results = [result for _, result in pairs]
+    reports = [result.unwrap() for result in results if is_successful(result)]
+    rows = summarise(unwrap_or_quit(merge_reports(reports), as_json))
     columns = ("customer", "class", "requests", "outcomes", "tokens")
     columns += ("recomputed_tokens", "first_token", "between_tokens", "whole_answer")
-    value = {"instances": len(reached), "rows": rows}
+    value = {"instances": len(reports), "rows": rows}
     show(value, as_json, lambda: render_rows(columns, rows))
-    for result in answers:
+    for result in results:
         if not is_successful(result):
             quit_with(result.failure(), as_json)
 
--- a/src/chervilwing/tables.py
+++ b/src/chervilwing/tables.py
@@ -1,17 +1,19 @@
-"""Rows for people: aligned columns, and the two sides of a conflict."""
+"""Render rows as aligned columns, and conflicting edits, as text for operators."""
 
 import json
 
-GAP = "  "
+COLUMN_SEPARATOR = "  "
 
 
 def render_rows(columns, rows):
-    """Return rows, each a table by column name, as aligned text with a heading."""
+    """Return aligned text with a heading; each row is a dict by column name."""
     lines = [list(columns)]
     lines += [[_render_cell(row.get(name)) for name in columns] for row in rows]
     widths = [max(len(line[i]) for line in lines) for i in range(len(columns))]
     padded = (
-        GAP.join(cell.ljust(width) for cell, width in zip(line, widths, strict=True))
+        COLUMN_SEPARATOR.join(
+            cell.ljust(width) for cell, width in zip(line, widths, strict=True)
+        )
         for line in lines
     )
     return "\n".join(line.rstrip() for line in padded)
@@ -30,7 +32,7 @@
 
 
 def render_overlaps(overlaps):
-    """Return both sides of each entry that two operators changed."""
+    """Return text with the base and both new values of each conflicting entry."""
     lines = []
     for item in overlaps:
         lines.append(f"{item.section}.{item.name}")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' tool against the stand-in store and real entry instances."""
+"""Tests of the operators' tool with a fake key-value service and real instances."""
 
 import json
 import unittest
@@ -11,44 +11,44 @@
 from chervilwing.exceptions import NotAllowed
 from tests.procs import ROOT, Processes, call_json, poll
 
-ANDESUR = ROOT / "examples" / "andesur"
-FILES = (str(ANDESUR / "inventory.toml"), str(ANDESUR / "rules.toml"))
-CONFIG = "/kv/chervilwing/config"
+EXAMPLE_DIR = ROOT / "examples" / "andesur"
+CONFIG_FILES = (str(EXAMPLE_DIR / "inventory.toml"), str(EXAMPLE_DIR / "rules.toml"))
+CONFIG_PATH = "/kv/chervilwing/config"
 
 
 class CliTest(unittest.TestCase):
-    """Runs the tool in this process; the stores are processes of their own."""
+    """Runs the tool in this process; stores and instances run as child processes."""
 
     def setUp(self):
         self.processes = Processes()
         self.addCleanup(self.processes.close)
 
     def run_tool(self, *args, code=0, text=None, environ=()):
-        """Run the tool, check its exit code and return its output."""
+        """Run the tool, check its exit code and return the Result of CliRunner."""
         environ = {"USER": "ana", **dict(environ)}
         result = CliRunner().invoke(app, args, input=text, env=environ)
         self.assertEqual(result.exit_code, code, result.output)
         return result
 
     def start_store(self):
-        """Start a stand-in store with the example of Andesur in revisions 1 and 2."""
+        """Start a fake store with examples/andesur in revisions 1 and 2."""
         store = self.processes.start_fake("store")
         self.store = store
         self.options = ["--store", f"127.0.0.1:{store.port}", "--pause", "0"]
-        self.edit("config", "apply", *FILES)
-        self.edit("rules", "edit", "--set", "classes.memo.first_token=1.2")
+        self.run_on_store("config", "apply", *CONFIG_FILES)
+        self.run_on_store("rules", "edit", "--set", "classes.memo.first_token=1.2")
         return store
 
-    def edit(self, *args, code=0, text=None):
-        """Run a command on the store."""
+    def run_on_store(self, *args, code=0, text=None):
+        """Run a command with the options for the store and return its output."""
         return self.run_tool(*self.options, *args, code=code, text=text).output
 
-    def read(self, *args):
-        """Run a command that prints JSON and return the value."""
-        return json.loads(self.edit(*args, "--json"))
+    def run_json(self, *args):
+        """Run a command with --json and return the decoded output."""
+        return json.loads(self.run_on_store(*args, "--json"))
 
     def start_daemon(self, name, store, *options):
-        """Start an entry instance and wait for its configuration."""
+        """Start an entry instance and wait until it is ready."""
         daemon = self.processes.start_daemon(
             *("--listen", "127.0.0.1:0", "--peer-listen", "127.0.0.1:0"),
             *("--name", name, "--data-centre", "scl-a", "--drain-lag", "0.1"),
@@ -61,9 +61,9 @@
 
 
 class TestOperatorKey(CliTest):
-    def test_only_the_operators_key_reads_figures_and_drains(self):
-        # A caller finds `/-/drain` on the port that it calls anyway, and stops one
-        # instance after the other; `/-/status` tells it what to ask next.
+    def test_status_metrics_and_drain_require_the_operator_key(self):
+        # These paths share a port with the customers' requests. Without a check of the
+        # key a customer could read `/-/status` and drain one instance after the other.
         store = self.start_store()
         digest = ("--operator-key-hash", hash_key("secret"))
         entry = self.start_daemon("one", store, *digest)
@@ -72,17 +72,17 @@
         for headers in ({}, {"Authorization": "Bearer wrong"}):
             for method, path in calls:
                 status, body = call_json(entry.port, method, path, {}, headers)
-                found = (status, body["type"].rpartition("/")[2])
-                self.assertEqual(found, (401, "wrong-operator-key"))
+                refusal = (status, body["type"].rpartition("/")[2])
+                self.assertEqual(refusal, (401, "wrong-operator-key"))
         self.assertEqual(entry.get("/-/live")[0], 200)
-        self.assertIn(" 401 ", self.edit("drain", "one", code=1))
+        self.assertIn(" 401 ", self.run_on_store("drain", "one", code=1))
         self.assertEqual(entry.get("/-/ready")[0], 200)
         environ = {"CHERVILWING_OPERATOR_KEY": "secret"}
         for command in (("instances",), ("stats",), ("drain", "one")):
             self.run_tool(*self.options, *command, environ=environ)
         poll(lambda: entry.popen.poll() == 0)
 
-    def test_without_a_key_a_stop_is_only_taken_from_the_machine_itself(self):
+    def test_without_a_key_only_loopback_may_stop_an_instance(self):
         for host, allowed in (("127.0.0.1", True), ("::1", True), ("10.2.0.5", False)):
             with self.subTest(host):
                 if allowed:
@@ -95,99 +95,104 @@
 class TestConfiguration(CliTest):
     def test_apply_show_edit_history_and_rollback(self):
         self.start_store()
-        self.edit("rules", "edit", "--set", "customers.austral-buses.weight=2")
+        self.run_on_store("rules", "edit", "--set", "customers.austral-buses.weight=2")
         weights = [
             row.get("weight")
-            for row in self.read("rules", "show")["rules"]["customers"]
+            for row in self.run_json("rules", "show")["rules"]["customers"]
         ]
         self.assertEqual(weights, [4.0, 4.0, None, 2.0, None])
-        output = self.edit("config", "rollback", "2")
+        output = self.run_on_store("config", "rollback", "2")
         self.assertIn("~ customers.austral-buses weight: 2.0 -> null", output)
-        history = self.read("config", "history")
+        history = self.run_json("config", "history")
         self.assertEqual([row["revision"] for row in history], [4, 3, 2, 1])
         self.assertEqual({row["author"] for row in history}, {"ana"})
-        old = self.read("rules", "show", "--revision", "3")["rules"]["customers"][3]
+        old = self.run_json("rules", "show", "--revision", "3")["rules"]["customers"][3]
         self.assertEqual(old["weight"], 2.0)
 
     def test_dry_run_shows_the_changes_and_writes_nothing(self):
         store = self.start_store()
         writes = store.record()["calls"]["writes"]
         remove = ("rules", "edit", "--remove", "customers.norte-minero", "--dry-run")
-        self.assertEqual(self.edit(*remove).strip(), "- customers.norte-minero")
+        self.assertEqual(self.run_on_store(*remove).strip(), "- customers.norte-minero")
         self.assertEqual(store.record()["calls"]["writes"], writes)
 
-    def test_a_file_undoes_no_edit_made_since_it_was_shown(self):
-        # Ana saves rules.toml at revision 2. Bo raises a customer's weight. Ana applies
-        # her file with another change. Her file still holds the old weight: taken as
-        # the whole truth it would undo Bo's edit without a word.
+    def test_applying_an_old_file_keeps_edits_made_since_it_was_shown(self):
+        # Ana saves rules.toml at revision 2. Then Bo raises a customer's weight, and
+        # Ana applies her file with another change. The file still has the old weight:
+        # if it replaced everything, it would silently undo Bo's edit.
         self.start_store()
-        shown = self.edit("rules", "show")
-        self.edit("rules", "edit", "--set", "customers.austral-buses.weight=2")
+        shown = self.run_on_store("rules", "show")
+        self.run_on_store("rules", "edit", "--set", "customers.austral-buses.weight=2")
         changed = shown.replace("deadline = 5.0", "deadline = 6.0")
-        self.edit("rules", "apply", "-", text=changed)
-        rules = self.read("rules", "show")["rules"]
+        self.run_on_store("rules", "apply", "-", text=changed)
+        rules = self.run_json("rules", "show")["rules"]
         self.assertEqual(rules["customers"][3]["weight"], 2.0)
         self.assertEqual(rules["classes"][0]["deadline"], 6.0)
-        lost = shown.replace("weight = 1.0", "").replace(
+        conflicting = shown.replace("weight = 1.0", "").replace(
             'name = "austral-buses"', 'name = "austral-buses"\nweight = 3'
         )
         result = self.run_tool(
-            *self.options, "rules", "apply", "-", "--json", text=lost, code=3
+            *self.options, "rules", "apply", "-", "--json", text=conflicting, code=3
         )
         overlap = json.loads(result.stderr)["overlaps"][0]
         self.assertEqual(
             (overlap["ours"]["weight"], overlap["theirs"]["weight"]), (3, 2)
         )
 
-    def test_a_lost_answer_is_settled_without_a_second_revision(self):
-        # The edit takes effect but its answer is lost. A tool that reported a failure
-        # would make the operator enter it again.
+    def test_a_lost_response_does_not_add_a_second_revision(self):
+        # The write takes effect but its response is lost. If the tool reported a
+        # failure, the operator would enter the edit again.
         store = self.start_store()
         store.fault(lose_answer=1)
-        self.edit("rules", "edit", "--set", "classes.memo.priority=2")
+        self.run_on_store("rules", "edit", "--set", "classes.memo.priority=2")
         self.assertEqual(store.record()["lost_answers"], 1)
-        self.assertEqual(len(self.read("config", "history")), 3)
+        self.assertEqual(len(self.run_json("config", "history")), 3)
 
     def test_failures_have_their_own_exit_codes(self):
         store = self.start_store()
-        edit = ("rules", "edit", "--set")
-        self.assertIn("customers.c", self.edit(*edit, "customers.c.weight=0", code=6))
-        self.assertIn("inventory", self.edit(*edit, "pools.p.kind=model", code=6))
-        self.edit("rules", "show", "--revision", "99", code=1)
-        self.edit("rules", "shwo", code=2)
+        set_key = ("rules", "edit", "--set")
+        self.assertIn(
+            "customers.c", self.run_on_store(*set_key, "customers.c.weight=0", code=6)
+        )
+        self.assertIn(
+            "inventory", self.run_on_store(*set_key, "pools.p.kind=model", code=6)
+        )
+        self.run_on_store("rules", "show", "--revision", "99", code=1)
+        self.run_on_store("rules", "shwo", code=2)
         self.run_tool("rules", "show", code=2)
         self.run_tool("--store", "localhost:1", "rules", "show", code=2)
         store.fault(down=True)
-        self.edit("rules", "show", code=4)
-        self.edit(*edit, "classes.memo.priority=2", code=4)
+        self.run_on_store("rules", "show", code=4)
+        self.run_on_store(*set_key, "classes.memo.priority=2", code=4)
 
-    def test_a_deleted_configuration_goes_on_after_its_revision(self):
+    def test_after_a_deletion_the_revision_number_continues(self):
         store = self.start_store()
-        store_version = store.get(CONFIG)[1]["version"]
-        call_json(store.port, "DELETE", CONFIG, {"expect": store_version})
-        self.edit("config", "apply", *FILES)
-        self.assertEqual(self.read("inventory", "show")["revision"], 3)
+        store_version = store.get(CONFIG_PATH)[1]["version"]
+        call_json(store.port, "DELETE", CONFIG_PATH, {"expect": store_version})
+        self.run_on_store("config", "apply", *CONFIG_FILES)
+        self.assertEqual(self.run_json("inventory", "show")["revision"], 3)
 
 
 class TestInstances(CliTest):
-    def test_status_shows_who_follows_who_lags_and_who_is_gone(self):
-        other = self.start_store()
+    def test_status_shows_lagging_and_unreachable_instances(self):
+        old_store = self.start_store()
         store = self.start_store()
         first = self.start_daemon("e1", store)
-        self.edit("rules", "edit", "--set", "customers.austral-buses.weight=2")
+        self.run_on_store("rules", "edit", "--set", "customers.austral-buses.weight=2")
         poll(lambda: first.get("/-/status")[1]["revision"] == 3)
-        self.edit("config", "status")
-        self.start_daemon("e2", other)
-        value = json.loads(self.edit("config", "status", "--json", code=7))
+        self.run_on_store("config", "status")
+        self.start_daemon("e2", old_store)
+        value = json.loads(self.run_on_store("config", "status", "--json", code=7))
         revisions = [row["revision"] for row in value["instances"]]
         self.assertEqual((value["stored"], revisions), (3, [3, 2]))
-        # What listens there now is no entry instance; the others are still shown.
+        # This address belongs to the store, not to an entry instance: the row shows a
+        # failure, and the other rows are still complete.
         self.options += ["--instance", f"127.0.0.1:{store.port}"]
-        rows = json.loads(self.edit("instances", "--json", code=4))
+        rows = json.loads(self.run_on_store("instances", "--json", code=4))
         self.assertEqual([row["name"] for row in rows], ["e1", "e2", None])
         self.assertIn("404", rows[2]["failure"])
 
-    def test_upstreams_stats_and_drain_over_the_list(self):
+    def test_upstreams_stats_and_drain_with_instances_from_the_list(self):
         store = self.start_store()
         daemons = [self.start_daemon(name, store) for name in ("e1", "e2")]
         rows = [
@@ -203,12 +208,12 @@
         cloud = self.processes.start_fake("cloud", "--lag", "0")
         cloud.post("/-/instances", {"instances": rows})
         self.options = ["--list", f"127.0.0.1:{cloud.port}"]
-        upstreams = self.read("upstreams")
+        upstreams = self.run_json("upstreams")
         self.assertEqual(len(upstreams), 8)
         self.assertEqual(upstreams[0]["state"], {"e1": "live", "e2": "live"})
-        self.assertEqual(self.read("stats"), {"instances": 2, "rows": []})
-        self.edit("drain", "e3", code=1)
-        self.edit("drain", "e2")
+        self.assertEqual(self.run_json("stats"), {"instances": 2, "rows": []})
+        self.run_on_store("drain", "e3", code=1)
+        self.run_on_store("drain", "e2")
         self.assertEqual(daemons[1].popen.wait(10), 0)
         self.assertEqual(daemons[0].get("/-/ready")[0], 200)
 
--- a/tests/test_edits.py
+++ b/tests/test_edits.py
@@ -1,4 +1,4 @@
-"""Tests of operators racing, with answers lost and late, against a store in memory."""
+"""Tests of concurrent edits with lost and delayed messages, on an in-memory store."""
 
 import itertools
 import random
@@ -6,9 +6,9 @@
 
 from returns.pipeline import is_successful
 
-from chervilwing.changes import EMPTY, Change, find_changes, set_values
+from chervilwing.changes import EMPTY_CONFIGURATION, Change, find_changes, set_values
 from chervilwing.documents import CONFIG_KEY, parse_document, serialise
-from chervilwing.edits import TRIES, Commit, Done, Edit, history_key
+from chervilwing.edits import MAX_SENDS, Commit, Done, Edit, make_history_key
 from chervilwing.exceptions import (
     NOT_RUN,
     UNKNOWN,
@@ -23,14 +23,14 @@
 
 
 class Store:
-    """Compare-and-swap in memory; keeps every value of the configuration key."""
+    """Compare-and-swap store in memory; records each configuration written to it."""
 
     def __init__(self):
         self.values = {}
         self.written = []
         self.late = []
 
-    def answer(self, request):
+    def handle(self, request):
         value, version = self.values.get(request.key, ("", 0))
         if isinstance(request, Read):
             return Found(value, version) if version else Missing()
@@ -41,22 +41,22 @@
             self.written.append(parse_document(request.value).unwrap())
         return Written(version + 1)
 
-    def answer_with(self, request, fault):
-        """Answer under a fault; a late request takes effect at the next one."""
+    def handle_with_fault(self, request, fault):
+        """Handle a request with a fault; a late one takes effect at the next call."""
         late, self.late = self.late, []
-        for held in late:
-            self.answer(held)
+        for delayed in late:
+            self.handle(delayed)
         if fault == LATE:
             self.late.append(request)
         elif fault == LOST_ANSWER:
-            self.answer(request)
-        return Unanswered() if fault else self.answer(request)
+            self.handle(request)
+        return Unanswered() if fault else self.handle(request)
 
 
 class Operator:
-    """Drives one Commit, a step at a time."""
+    """Runs one Commit step by step; a step sends one request."""
 
-    def __init__(self, store, edit, empty=EMPTY):
+    def __init__(self, store, edit, empty=EMPTY_CONFIGURATION):
         self.store = store
         self.edit = edit
         self.commit = Commit(edit, empty)
@@ -64,7 +64,7 @@
 
     def step(self, fault=None):
         if not self.done:
-            reply = self.store.answer_with(self.step_result, fault)
+            reply = self.store.handle_with_fault(self.step_result, fault)
             self.step_result = self.commit.receive(reply)
 
     def finish(self):
@@ -86,39 +86,42 @@
 
 
 def make_store():
-    """Return a store with one revision of one customer, and that configuration."""
+    """Return a store at revision 1, with one customer, and its configuration."""
     store = Store()
-    edit = make_edit(EMPTY, "first", add_customer("c"))
+    edit = make_edit(EMPTY_CONFIGURATION, "first", add_customer("c"))
     return store, Operator(store, edit).finish().unwrap().configuration
 
 
 class TestEdit(unittest.TestCase):
-    def test_first_edit_and_history(self):
+    def test_the_second_edit_archives_the_first_revision(self):
         store, cfg = make_store()
         self.assertEqual((cfg.revision, cfg.operation), (1, "first"))
         edit = make_edit(cfg, "second", Change("customers", "c"))
-        again = Operator(store, edit).finish().unwrap()
-        self.assertEqual(again.configuration.revision, 2)
-        self.assertEqual(again.configuration.rules.customers, ())
-        kept = parse_document(store.values[history_key(1)][0]).unwrap()
+        second = Operator(store, edit).finish().unwrap()
+        self.assertEqual(second.configuration.revision, 2)
+        self.assertEqual(second.configuration.rules.customers, ())
+        kept = parse_document(store.values[make_history_key(1)][0]).unwrap()
         self.assertEqual(kept, cfg)
 
-    def test_nothing_to_change_writes_nothing(self):
+    def test_an_edit_without_changes_writes_nothing(self):
         store, cfg = make_store()
         result = Operator(store, make_edit(cfg, "again", add_customer("c"))).finish()
         self.assertFalse(result.unwrap().changed)
         self.assertEqual(len(store.written), 1)
 
-    def test_a_wrong_edit_is_refused_before_any_request(self):
+    def test_an_invalid_edit_fails_before_any_request(self):
         change = Change("customers", "d", Customer("d", work_class="none"))
-        operator = Operator(Store(), make_edit(EMPTY, "bad", change))
+        operator = Operator(Store(), make_edit(EMPTY_CONFIGURATION, "bad", change))
         self.assertTrue(operator.done)
         self.assertIsInstance(operator.finish().failure(), BadConfiguration)
 
-    def test_an_unreadable_value_is_refused_before_any_request(self):
-        # An operator's user name holds a line break. Stored so, the value would be
-        # refused by every instance and by the next edit, with no way out but deletion.
-        edit = make_edit(EMPTY, "op", add_customer("c"))._replace(author="a\nb")
+    def test_an_unreadable_value_fails_before_any_request(self):
+        # An operator's user name contains a line break. If it were stored, every
+        # instance and every later edit would reject the value, and only deleting the
+        # key would help.
+        edit = make_edit(EMPTY_CONFIGURATION, "op", add_customer("c"))._replace(
+            author="a\nb"
+        )
         self.assertIsInstance(
             Operator(Store(), edit).finish().failure(), BadConfiguration
         )
@@ -127,23 +130,24 @@
         store, first = make_store()
         edit = make_edit(first, "second", add_customer("c", weight=2.0))
         second = Operator(store, edit).finish().unwrap().configuration
-        back = make_edit(second, "back", *find_changes(second, first))
-        third = Operator(store, back).finish().unwrap().configuration
+        rollback = make_edit(second, "back", *find_changes(second, first))
+        third = Operator(store, rollback).finish().unwrap().configuration
         self.assertEqual((third.revision, third.rules), (3, first.rules))
 
-    def test_a_deleted_configuration_does_not_start_again_at_revision_one(self):
-        # Someone deletes the key. Instances hold revision 7 and never go back, so an
-        # edit that started again at 1 would be written and never be in force.
-        empty = EMPTY._replace(revision=7)
+    def test_after_a_deletion_the_revision_number_continues(self):
+        # Someone deletes the key. Instances keep using revision 7 and ignore lower
+        # ones, so an edit written as revision 1 would never be in force.
+        empty = EMPTY_CONFIGURATION._replace(revision=7)
         edit = make_edit(empty, "new", add_customer("c"))
         cfg = Operator(Store(), edit, empty).finish().unwrap().configuration
         self.assertEqual(cfg.revision, 8)
 
 
 class TestRaces(unittest.TestCase):
-    def test_edits_of_different_entries_both_hold(self):
-        # Two operators read revision 1. Ana adds a customer and Bo a class; both press
-        # enter at once. Without a rebase Bo would be refused, or Ana's customer lost.
+    def test_concurrent_edits_of_different_entries_are_both_stored(self):
+        # Two operators read revision 1 and edit at the same time: Ana adds a customer
+        # and Bo a class. Without a rebase Bo's edit would be rejected, or Ana's
+        # customer lost.
         store, base = make_store()
         ana = Operator(store, make_edit(base, "ana", add_customer("d")))
         bo = make_edit(base, "bo", Change("classes", "memo", WorkClass("memo")))
@@ -157,9 +161,9 @@
         self.assertEqual([item.name for item in rules.customers], ["c", "d"])
         self.assertEqual([item.name for item in rules.classes], ["memo"])
 
-    def test_the_loser_of_the_same_entry_sees_both_sides(self):
-        # Ana and Bo both change the weight of customer c. Bo comes second and must not
-        # silently overwrite what Ana has just put in force.
+    def test_a_conflict_on_one_entry_reports_both_values(self):
+        # Ana and Bo both change the weight of customer c. Bo writes second and must not
+        # silently overwrite Ana's value.
         store, base = make_store()
         ana = make_edit(base, "ana", add_customer("c", weight=2.0))
         bo = make_edit(base, "bo", add_customer("c", weight=3.0))
@@ -173,9 +177,10 @@
         self.assertEqual(overlap.base, {"name": "c"})
         self.assertIn("ana", str(exc))
 
-    def test_edits_that_are_wrong_together_conflict(self):
-        # Ana removes class memo, which nobody uses yet. At the same time Bo gives it to
-        # a customer. Each edit is right alone; both together leave a dangling name.
+    def test_edits_that_are_invalid_together_conflict(self):
+        # Ana removes the class memo, which no customer uses yet. At the same time Bo
+        # assigns it to a customer. Each edit is valid alone; together they would leave
+        # a reference to a class that doesn't exist.
         store, base = make_store()
         memo = make_edit(base, "memo", Change("classes", "memo", WorkClass("memo")))
         base = Operator(store, memo).finish().unwrap().configuration
@@ -189,24 +194,27 @@
 
 class TestLostAnswers(unittest.TestCase):
     def test_every_schedule_of_two_operators_with_one_fault(self):
-        # Ana and Bo edit different entries while one request or answer is lost, or one
-        # request takes effect late. An operator told "failed" would enter the edit
-        # again, one told "done" would go home: the word must match the store.
+        # Ana and Bo edit different entries while one request or reply is lost, or one
+        # request takes effect late. An operator who sees "failed" would enter the edit
+        # again, and one who sees "done" would not check: the reported outcome must
+        # match the store.
         for schedule in itertools.product((0, 1), repeat=7):
-            for at, fault in itertools.product(
+            for fault_step, fault in itertools.product(
                 range(7), (LOST_REQUEST, LOST_ANSWER, LATE)
             ):
-                with self.subTest(schedule=schedule, at=at, fault=fault):
-                    self.run_schedule(schedule, at, fault)
+                with self.subTest(
+                    schedule=schedule, fault_step=fault_step, fault=fault
+                ):
+                    self.run_schedule(schedule, fault_step, fault)
 
-    def run_schedule(self, schedule, at, fault):
+    def run_schedule(self, schedule, fault_step, fault):
         store, base = make_store()
         operators = [
             Operator(store, make_edit(base, name, add_customer(name)))
             for name in ("ana", "bo")
         ]
-        for i, who in enumerate(schedule):
-            operators[who].step(fault if i == at else None)
+        for step, index in enumerate(schedule):
+            operators[index].step(fault if step == fault_step else None)
         for operator in operators:
             self.assertTrue(operator.finish().unwrap().changed)
         names = {item.name for item in store.written[-1].rules.customers}
@@ -215,12 +223,12 @@
         done = [cfg.operation for cfg in store.written]
         self.assertEqual(sorted(done), ["ana", "bo", "first"])
         kept = {key for key in store.values if key != CONFIG_KEY}
-        self.assertEqual(kept, {history_key(1), history_key(2)})
+        self.assertEqual(kept, {make_history_key(1), make_history_key(2)})
 
     def test_three_operators_under_many_faults(self):
-        # A bad network loses or delays a quarter of all calls while three operators
-        # edit, two of them the same entry. Whoever hears "done" must find the edit in
-        # the store once; whoever hears "not run" must never find it there.
+        # The network loses or delays a quarter of all calls while three operators edit,
+        # two of them the same entry. An edit reported as done must be in the store
+        # exactly once; one reported as not run must never appear there.
         for seed in range(600):
             with self.subTest(seed=seed):
                 self.run_seed(random.Random(seed))
@@ -236,26 +244,27 @@
         while not all(operator.done for operator in operators):
             fault = rng.choice((LOST_REQUEST, LOST_ANSWER, LATE, *[None] * 9))
             rng.choice(operators).step(fault)
-        store.answer_with(Read(CONFIG_KEY), None)
+        store.handle_with_fault(Read(CONFIG_KEY), None)
         written = [cfg.operation for cfg in store.written]
         self.assertEqual(len(written), len(set(written)))
         revisions = [cfg.revision for cfg in store.written]
         self.assertEqual(revisions, list(range(1, len(written) + 1)))
         for operator in operators:
-            self.check_word(operator, written)
+            self.check_reported_outcome(operator, written)
 
-    def check_word(self, operator, written):
-        """Check what an operator was told against what was written."""
+    def check_reported_outcome(self, operator, written):
+        """Check that the outcome reported to an operator matches the store."""
         result = operator.finish()
-        stands = operator.edit.operation in written
+        is_written = operator.edit.operation in written
         if is_successful(result):
-            self.assertTrue(stands)
+            self.assertTrue(is_written)
         elif result.failure().outcome == NOT_RUN:
-            self.assertFalse(stands)
+            self.assertFalse(is_written)
 
-    def test_lost_answer_and_a_further_revision(self):
-        # Ana's write takes effect and its answer is lost. Before she asks again, Bo
-        # puts revision 3 on top. The current value names Bo; only history names Ana.
+    def test_a_lost_reply_before_a_further_revision_is_found_in_the_history(self):
+        # Ana's write takes effect and its reply is lost. Before her tool sends it
+        # again, Bo writes revision 3. The current value has Bo's operation id; Ana's is
+        # only in the history.
         store, base = make_store()
         ana = Operator(store, make_edit(base, "ana", add_customer("d")))
         ana.step()
@@ -266,25 +275,27 @@
         Operator(store, bo).finish().unwrap()
         committed = ana.finish().unwrap()
         self.assertEqual(committed.configuration.revision, 2)
-        self.assertEqual([c.operation for c in store.written], ["first", "ana", "bo"])
+        self.assertEqual(
+            [cfg.operation for cfg in store.written], ["first", "ana", "bo"]
+        )
 
-    def test_no_answer_at_all_says_what_is_known(self):
-        # The service is down. Before the write was sent nothing can have happened;
-        # after it the operator must hear that the edit may stand, and its id.
+    def test_an_unanswered_edit_reports_whether_it_may_be_stored(self):
+        # The service doesn't reply. Before the write is sent the edit can't have run;
+        # afterwards the failure must say that it may be stored, with its operation id.
         for steps, outcome in ((0, NOT_RUN), (1, NOT_RUN), (2, UNKNOWN)):
             with self.subTest(steps=steps):
                 store, base = make_store()
                 ana = Operator(store, make_edit(base, "ana", add_customer("d")))
                 for _ in range(steps):
                     ana.step()
-                for _ in range(TRIES):
+                for _ in range(MAX_SENDS):
                     ana.step(LOST_REQUEST)
                 exc = ana.finish().failure()
                 self.assertIsInstance(exc, PlatformDown)
                 self.assertEqual(exc.outcome, outcome)
                 self.assertIn("ana", str(exc))
 
-    def test_a_value_nobody_can_read_is_never_overwritten(self):
+    def test_an_unreadable_stored_value_is_not_overwritten(self):
         store, base = make_store()
         store.values[CONFIG_KEY] = ('{"revision": 9, "newer": true}', 9)
         ana = Operator(store, make_edit(base, "ana", add_customer("d")))
@@ -293,7 +304,7 @@
 
 
 class TestSetValues(unittest.TestCase):
-    def test_sets_adds_and_removes(self):
+    def test_settings_change_and_add_entries_and_removals_remove_them(self):
         base = make_store()[1]
         lines = [
             "customers.c.weight=2",
@@ -307,7 +318,7 @@
         self.assertEqual(len(cfg.rules.customers), 1)
         self.assertEqual(parse_document(serialise(cfg)).unwrap(), cfg)
 
-    def test_bad_paths_are_named(self):
+    def test_invalid_settings_and_removals_are_rejected(self):
         base = make_store()[1]
         cases = (
             (["customers.c"], []),
--- a/tests/weakened.py
+++ b/tests/weakened.py
@@ -293,7 +293,7 @@
     Weakness(
         "an edit without an answer called not run",
         (Edit("edits", "self.in_doubt or self.state == WRITING", "False"),),
-        (EDITS + "no_answer_at_all_says_what_is_known",),
+        (EDITS + "an_unanswered_edit_reports_whether_it_may_be_stored",),
     ),
     Weakness(
         "an edit's own id not looked for in history",
