--- a/src/chervilwing/changes.py
+++ b/src/chervilwing/changes.py
@@ -81,8 +81,8 @@
         before = index_entries(base, section).get(name)
         theirs = index_entries(current, section).get(name)
         if theirs not in (before, ours):
-            sides = [_to_plain_or_none(item) for item in (before, ours, theirs)]
-            overlaps.append(Overlap(section, name, *sides))
+            values = [_to_plain_or_none(item) for item in (before, ours, theirs)]
+            overlaps.append(Overlap(section, name, *values))
     return tuple(overlaps)
 
 
--- a/src/chervilwing/clients.py
+++ b/src/chervilwing/clients.py
@@ -205,10 +205,12 @@
     if options.instances or options.instance_list is None:
         return Success(options.instances)
     result = request_json(options.instance_list, "GET", "/list", None, options.timeout)
-    return result.bind(_make_checked_parser(_parse_entries, options.instance_list))
+    return result.bind(
+        _make_checked_parser(_parse_entry_addresses, options.instance_list)
+    )
 
 
-def _parse_entries(payload):
+def _parse_entry_addresses(payload):
     rows = (row for row in payload["instances"] if row["role"] == ENTRY_ROLE)
     return tuple(Address(row["host"], int(row["port"])) for row in rows)
 
--- a/src/chervilwing/config_commands.py
+++ b/src/chervilwing/config_commands.py
@@ -100,9 +100,9 @@
         quit_with(exc, as_json)
 
 
-def make_part_app(name):
+def make_part_app(part_name):
     """Return the commands show, edit and apply for ``inventory`` or ``rules``."""
-    part_app = typer.Typer(no_args_is_help=True, help=f"The {name}.")
+    part_app = typer.Typer(no_args_is_help=True, help=f"The {part_name}.")
 
     @part_app.command("show")
     def show_part(
@@ -114,8 +114,8 @@
         options = require_store(ctx)
         current = load_current(options, as_json)
         cfg = load_revision(options, revision, current, as_json)
-        part = getattr(cfg, name)
-        value = {"revision": cfg.revision, name: to_plain(part)}
+        part = getattr(cfg, part_name)
+        value = {"revision": cfg.revision, part_name: to_plain(part)}
         show(value, as_json, lambda: render_file(PartFile(cfg.revision, part)))
 
     @part_app.command("edit")
@@ -135,7 +135,7 @@
         options = require_store(ctx)
         current = load_current(options, as_json)
         try:
-            _refuse_other_part(name, [*(settings or ()), *(removals or ())])
+            _reject_other_part(part_name, [*(settings or ()), *(removals or ())])
             desired = set_values(current, settings or (), removals or ())
         except BadConfiguration as exc:
             quit_with(exc, as_json)
@@ -154,15 +154,15 @@
         With ``revision`` in the file, edits that others made since that revision are
         kept; without it the file replaces the current content.
         """
-        apply_files(ctx, {name: file}, author, dry_run, as_json)
+        apply_files(ctx, {part_name: file}, author, dry_run, as_json)
 
     return part_app
 
 
-def _refuse_other_part(name, paths):
+def _reject_other_part(part_name, paths):
     for path in paths:
         section = path.partition(".")[0]
-        if PART_BY_SECTION.get(section, name) != name:
+        if PART_BY_SECTION.get(section, part_name) != part_name:
             raise BadConfiguration(f"{section}: belongs to {PART_BY_SECTION[section]}")
 
 
@@ -170,15 +170,15 @@
     """Replace parts of the configuration by files, given by part name, in one edit."""
     options = require_store(ctx)
     parsed = {
-        name: unwrap_or_quit(parse_file(name, file.read()), as_json)
-        for name, file in files.items()
+        part_name: unwrap_or_quit(parse_file(part_name, file.read()), as_json)
+        for part_name, file in files.items()
     }
     revisions = {file.revision for file in parsed.values()}
     if len(revisions) > 1:
         quit_with(BadConfiguration("revision: differs between the files"), as_json)
     current = load_current(options, as_json)
     base = load_revision(options, revisions.pop(), current, as_json)
-    parts = {name: file.part for name, file in parsed.items()}
+    parts = {part_name: file.part for part_name, file in parsed.items()}
     desired = _check_or_quit(base._replace(**parts), as_json)
     commit_changes(options, current, base, desired, author, dry_run, as_json)
 
--- a/src/chervilwing/tables.py
+++ b/src/chervilwing/tables.py
@@ -36,10 +36,10 @@
     lines = []
     for item in overlaps:
         lines.append(f"{item.section}.{item.name}")
-        for side in ("base", "ours", "theirs"):
-            lines.append(f"  {side:6} {_render_side(getattr(item, side))}")
+        for version in ("base", "ours", "theirs"):
+            lines.append(f"  {version:6} {_render_value(getattr(item, version))}")
     return "\n".join(lines)
 
 
-def _render_side(value):
+def _render_value(value):
     return "(none)" if value is None else json.dumps(value)
