--- a/src/chervilwing/changes.py
+++ b/src/chervilwing/changes.py
@@ -1,4 +1,8 @@
-"""Find, apply and compare changes of a configuration, entry by entry."""
+"""Find, apply and compare changes of a configuration, entry by entry.
+
+A configuration has two parts, inventory and rules. A part has sections, such as pools
+or customers, and a section has named entries.
+"""
 
 import json
 from typing import Any, NamedTuple
@@ -57,7 +61,7 @@
 
 
 def apply_changes(cfg, changes):
-    """Return the configuration with the changes applied, unchecked."""
+    """Return the configuration with the changes applied, without checking it."""
     sections = {section: index_entries(cfg, section) for section in PART_BY_SECTION}
     for section, name, value in changes:
         if value is None:
@@ -75,7 +79,10 @@
 
 
 def find_overlaps(base, changes, current):
-    """Return an Overlap for each changed entry that ``current`` changed differently."""
+    """Return an Overlap for each entry that was changed differently in ``current``.
+
+    Its value in ``current`` is neither that in ``base`` nor the one in ``changes``.
+    """
     overlaps = []
     for section, name, ours in changes:
         before = index_entries(base, section).get(name)
@@ -90,8 +97,8 @@
     return None if item is None else to_plain(item)
 
 
-def set_values(base, settings, removals):
-    """Return the checked configuration after settings and removals.
+def edit_entries(base, settings, removals):
+    """Return ``base`` with settings and removals applied, after checking it.
 
     A setting is ``section.name.key=value``, a removal ``section.name``. A value that
     isn't JSON is used as a string. A name may contain dots: the section ends at the
--- a/src/chervilwing/config_commands.py
+++ b/src/chervilwing/config_commands.py
@@ -11,8 +11,8 @@
     EMPTY_CONFIGURATION,
     PART_BY_SECTION,
     describe_change,
+    edit_entries,
     find_changes,
-    set_values,
 )
 from .console import (
     AuthorOption,
@@ -70,11 +70,15 @@
     if dry_run:
         value = {"revision": base.revision, "changes": lines}
         return show(value, as_json, lambda: "\n".join(lines) or "no change")
-    written_at = datetime.now(UTC).isoformat(timespec="seconds")
-    edit = Edit(base, changes, str(uuid4()), author, written_at)
-    # A current configuration without an operation id is the empty one: none is stored.
-    empty = EMPTY_CONFIGURATION if current.operation else current
-    done = unwrap_or_quit(clients.run_commit(options, Commit(edit, empty)), as_json)
+    edited_at = datetime.now(UTC).isoformat(timespec="seconds")
+    edit = Edit(base, changes, str(uuid4()), author, edited_at)
+    # Commit starts from this configuration if none is stored. A ``current`` without an
+    # operation id is the empty one of load_current(); it is passed on because its
+    # revision number may be higher than 0.
+    empty_configuration = EMPTY_CONFIGURATION if current.operation else current
+    done = unwrap_or_quit(
+        clients.run_commit(options, Commit(edit, empty_configuration)), as_json
+    )
     value = {
         "revision": done.configuration.revision,
         "operation": done.configuration.operation,
@@ -131,12 +135,15 @@
         dry_run: DryRunOption = False,
         as_json: JsonOption = False,
     ):
-        """Set keys of named entries, add entries by their keys, or remove entries."""
+        """Set keys of entries, or remove entries.
+
+        Setting a key of an entry that doesn't exist adds the entry.
+        """
         options = require_store(ctx)
         current = load_current(options, as_json)
         try:
             _reject_other_part(part_name, [*(settings or ()), *(removals or ())])
-            desired = set_values(current, settings or (), removals or ())
+            desired = edit_entries(current, settings or (), removals or ())
         except BadConfiguration as exc:
             quit_with(exc, as_json)
         commit_changes(options, current, current, desired, author, dry_run, as_json)
@@ -149,10 +156,10 @@
         dry_run: DryRunOption = False,
         as_json: JsonOption = False,
     ):
-        """Replace the stored content by a file's.
+        """Replace the stored inventory or rules by the content of a file.
 
-        With ``revision`` in the file, edits that others made since that revision are
-        kept; without it the file replaces the current content.
+        If the file has ``revision``, edits that others made since that revision are
+        kept; without it the file replaces the stored content completely.
         """
         apply_files(ctx, {part_name: file}, author, dry_run, as_json)
 
@@ -167,7 +174,10 @@
 
 
 def apply_files(ctx, files, author, dry_run, as_json):
-    """Replace parts of the configuration by files, given by part name, in one edit."""
+    """Replace parts of the configuration in one edit.
+
+    ``files`` maps the names of the parts to open files.
+    """
     options = require_store(ctx)
     parsed = {
         part_name: unwrap_or_quit(parse_file(part_name, file.read()), as_json)
@@ -184,7 +194,7 @@
 
 
 @config_app.command("apply")
-def apply_both(
+def apply_configuration(
     ctx: typer.Context,
     inventory: TomlArgument,
     rules: TomlArgument,
--- a/src/chervilwing/edits.py
+++ b/src/chervilwing/edits.py
@@ -50,11 +50,12 @@
 
 STORE_SCOPE = Scope("platform", "key-value service")
 CONFIGURATION_SCOPE = Scope("configuration", CONFIG_KEY)
-# How often one request is sent before the service is reported as down. With a pause of
-# a second between attempts an operator waits for seconds, not minutes.
+# How many times one request is sent before the service is reported as down. With a
+# pause of a second between attempts an operator waits for seconds, not minutes.
 MAX_SENDS = 4
-# At 580 changes a day two operators rarely write at the same time. So many lost races
-# in a row mean that a script writes without pause.
+# How many times one edit is prepared and written before the tool gives up. At a load of
+# 580 changes a day two operators rarely write at the same time; this many lost races in
+# a row mean that a script writes without pause.
 MAX_WRITE_ATTEMPTS = 16
 
 READING, ARCHIVING, WRITING, VERIFYING = "reading", "archiving", "writing", "settling"
@@ -67,7 +68,7 @@
     changes: tuple[Change, ...]
     operation: str
     author: str = ""
-    at: str = ""
+    edited_at: str = ""
 
 
 class Committed(NamedTuple):
@@ -96,15 +97,16 @@
 class Commit:
     """State of one edit while it is committed.
 
-    ``empty`` is the configuration to edit if none is stored. If the history shows that
-    one was deleted, ``empty`` must have the deleted revision's number: instances keep
-    using the deleted revision and ignore lower ones. ``in_doubt`` is true after a write
-    without a reply, until it is known whether the write took effect.
+    ``empty_configuration`` is the configuration to edit if none is stored. If the
+    history shows that a configuration was deleted, it must have the deleted revision's
+    number: instances keep using the deleted revision and ignore lower ones.
+    ``in_doubt`` is true after a write without a reply, until it is known whether the
+    write took effect.
     """
 
-    def __init__(self, edit, empty=EMPTY_CONFIGURATION):
+    def __init__(self, edit, empty_configuration=EMPTY_CONFIGURATION):
         self.edit = edit
-        self.current = empty
+        self.current = empty_configuration
         self.current_text = ""
         self.version = ABSENT
         self.desired = None
@@ -118,7 +120,8 @@
     def start(self) -> StoreRequest | Done:
         """Return the first request, or Done if the edit is invalid on its own base."""
         try:
-            self._serialise_readable(self._apply_edit(self.edit.base))
+            # Only checks the edit, before the first request.
+            self._serialise_checked(self._apply_edit(self.edit.base))
         except BadConfiguration as exc:
             return Done(Failure(exc))
         return self._send(READING, Read(CONFIG_KEY))
@@ -145,13 +148,13 @@
         """Return the same request again, or Done after MAX_SENDS attempts.
 
         Resending a write whose reply was lost is safe: the same expected version lets
-        it take effect at most once. If the first one did, the second is rejected, and
-        this edit's operation id is in the current value, or in the history if another
-        revision has followed.
+        it take effect at most once. If the first write took effect, the second is
+        rejected, and this edit's operation id is in the current value, or in the
+        history if another revision has followed.
         """
         self.in_doubt = self.in_doubt or self.state == WRITING
         if self.sends >= MAX_SENDS:
-            return self._give_up("no answer")
+            return self._give_up("no answer from the key-value service")
         self.sends += 1
         return self.request
 
@@ -174,7 +177,11 @@
         return self._prepare_write()
 
     def _prepare_write(self):
-        """Apply the edit to the current revision, then copy that to the history."""
+        """Apply the edit to the current revision; return the request to archive it.
+
+        Returns the write itself if no configuration is stored, and Done if the edit is
+        already stored or changes nothing.
+        """
         if self.current.revision and self.current.operation == self.edit.operation:
             return self._finish(self.current)
         self.write_attempts += 1
@@ -186,7 +193,7 @@
         desired = self._rebase()
         if not find_changes(self.current, desired):
             return Done(Success(Committed(self.current, changed=False)))
-        self.desired, self.desired_text = desired, self._serialise_readable(desired)
+        self.desired, self.desired_text = desired, self._serialise_checked(desired)
         if self.version == ABSENT:
             return self._write()
         key = make_history_key(self.current.revision)
@@ -217,11 +224,11 @@
             revision=max(cfg.revision, edit.base.revision) + 1,
             operation=edit.operation,
             author=edit.author,
-            at=edit.at,
+            at=edit.edited_at,
         )
 
-    def _serialise_readable(self, cfg):
-        """Return the stored form after checking that it can be parsed.
+    def _serialise_checked(self, cfg):
+        """Return the text to store, after checking that it can be parsed.
 
         An author's name with a line break, for example, would make a value that no
         instance can parse. All instances would stay on the old revision, and no later
@@ -236,8 +243,8 @@
     def _make_conflict(self, reason, overlaps):
         author = self.current.author or "someone"
         text = (
-            f"{reason}: revision {self.current.revision} by {author} against this "
-            f"edit of revision {self.edit.base.revision}"
+            f"{reason}: revision {self.current.revision} by {author} conflicts with "
+            f"this edit, which is based on revision {self.edit.base.revision}"
         )
         return EditConflict(text, scope=CONFIGURATION_SCOPE, overlaps=overlaps)
 
@@ -273,12 +280,13 @@
         replaced = self.current.revision > self.desired.revision
         if self.in_doubt and replaced:
             return self._send(VERIFYING, Read(make_history_key(self.desired.revision)))
-        return self._prepare_again()
+        return self._prepare_new_write()
 
-    def _prepare_again(self):
-        """Prepare the write again.
+    def _prepare_new_write(self):
+        """Prepare a new write on the current revision.
 
-        The stored version has changed, so a write in doubt can no longer take effect.
+        The stored version has changed, so an earlier write without a reply can no
+        longer take effect.
         """
         self.in_doubt = False
         return self._prepare_write()
@@ -287,10 +295,10 @@
         result = parse_document(reply.value)
         if is_successful(result) and result.unwrap().operation == self.edit.operation:
             return self._finish(result.unwrap())
-        return self._prepare_again()
+        return self._prepare_new_write()
 
     def _on_history_missing(self, reply):
-        return self._prepare_again()
+        return self._prepare_new_write()
 
     def _finish(self, cfg):
         rebased = cfg.revision != self.edit.base.revision + 1
--- a/tests/test_edits.py
+++ b/tests/test_edits.py
@@ -6,7 +6,7 @@
 
 from returns.pipeline import is_successful
 
-from chervilwing.changes import EMPTY_CONFIGURATION, Change, find_changes, set_values
+from chervilwing.changes import EMPTY_CONFIGURATION, Change, edit_entries, find_changes
 from chervilwing.documents import CONFIG_KEY, parse_document, serialise
 from chervilwing.edits import MAX_SENDS, Commit, Done, Edit, make_history_key
 from chervilwing.exceptions import (
@@ -56,39 +56,39 @@
 class Operator:
     """Runs one Commit step by step; a step sends one request."""
 
-    def __init__(self, store, edit, empty=EMPTY_CONFIGURATION):
+    def __init__(self, store, edit, empty_configuration=EMPTY_CONFIGURATION):
         self.store = store
         self.edit = edit
-        self.commit = Commit(edit, empty)
-        self.step_result = self.commit.start()
+        self.commit = Commit(edit, empty_configuration)
+        self.next_step = self.commit.start()
 
     def step(self, fault=None):
         if not self.done:
-            reply = self.store.handle_with_fault(self.step_result, fault)
-            self.step_result = self.commit.receive(reply)
+            reply = self.store.handle_with_fault(self.next_step, fault)
+            self.next_step = self.commit.receive(reply)
 
     def finish(self):
         while not self.done:
             self.step()
-        return self.step_result.result
+        return self.next_step.result
 
     @property
     def done(self):
-        return isinstance(self.step_result, Done)
+        return isinstance(self.next_step, Done)
 
 
 def make_edit(base, operation, *changes):
     return Edit(base, changes, operation, author=operation)
 
 
-def add_customer(name, weight=1.0):
+def make_customer_change(name, weight=1.0):
     return Change("customers", name, Customer(name, weight=weight))
 
 
 def make_store():
     """Return a store at revision 1, with one customer, and its configuration."""
     store = Store()
-    edit = make_edit(EMPTY_CONFIGURATION, "first", add_customer("c"))
+    edit = make_edit(EMPTY_CONFIGURATION, "first", make_customer_change("c"))
     return store, Operator(store, edit).finish().unwrap().configuration
 
 
@@ -105,7 +105,9 @@
 
     def test_an_edit_without_changes_writes_nothing(self):
         store, cfg = make_store()
-        result = Operator(store, make_edit(cfg, "again", add_customer("c"))).finish()
+        result = Operator(
+            store, make_edit(cfg, "again", make_customer_change("c"))
+        ).finish()
         self.assertFalse(result.unwrap().changed)
         self.assertEqual(len(store.written), 1)
 
@@ -119,7 +121,7 @@
         # An operator's user name contains a line break. If it were stored, every
         # instance and every later edit would reject the value, and only deleting the
         # key would help.
-        edit = make_edit(EMPTY_CONFIGURATION, "op", add_customer("c"))._replace(
+        edit = make_edit(EMPTY_CONFIGURATION, "op", make_customer_change("c"))._replace(
             author="a\nb"
         )
         self.assertIsInstance(
@@ -128,7 +130,7 @@
 
     def test_rollback_is_a_new_revision_with_old_content(self):
         store, first = make_store()
-        edit = make_edit(first, "second", add_customer("c", weight=2.0))
+        edit = make_edit(first, "second", make_customer_change("c", weight=2.0))
         second = Operator(store, edit).finish().unwrap().configuration
         rollback = make_edit(second, "back", *find_changes(second, first))
         third = Operator(store, rollback).finish().unwrap().configuration
@@ -137,9 +139,11 @@
     def test_after_a_deletion_the_revision_number_continues(self):
         # Someone deletes the key. Instances keep using revision 7 and ignore lower
         # ones, so an edit written as revision 1 would never be in force.
-        empty = EMPTY_CONFIGURATION._replace(revision=7)
-        edit = make_edit(empty, "new", add_customer("c"))
-        cfg = Operator(Store(), edit, empty).finish().unwrap().configuration
+        empty_configuration = EMPTY_CONFIGURATION._replace(revision=7)
+        edit = make_edit(empty_configuration, "new", make_customer_change("c"))
+        cfg = (
+            Operator(Store(), edit, empty_configuration).finish().unwrap().configuration
+        )
         self.assertEqual(cfg.revision, 8)
 
 
@@ -149,7 +153,7 @@
         # and Bo a class. Without a rebase Bo's edit would be rejected, or Ana's
         # customer lost.
         store, base = make_store()
-        ana = Operator(store, make_edit(base, "ana", add_customer("d")))
+        ana = Operator(store, make_edit(base, "ana", make_customer_change("d")))
         bo = make_edit(base, "bo", Change("classes", "memo", WorkClass("memo")))
         bo = Operator(store, bo)
         ana.step()
@@ -165,8 +169,8 @@
         # Ana and Bo both change the weight of customer c. Bo writes second and must not
         # silently overwrite Ana's value.
         store, base = make_store()
-        ana = make_edit(base, "ana", add_customer("c", weight=2.0))
-        bo = make_edit(base, "bo", add_customer("c", weight=3.0))
+        ana = make_edit(base, "ana", make_customer_change("c", weight=2.0))
+        bo = make_edit(base, "bo", make_customer_change("c", weight=3.0))
         bo = Operator(store, bo)
         Operator(store, ana).finish()
         exc = bo.finish().failure()
@@ -205,12 +209,12 @@
                 with self.subTest(
                     schedule=schedule, fault_step=fault_step, fault=fault
                 ):
-                    self.run_schedule(schedule, fault_step, fault)
+                    self.check_schedule(schedule, fault_step, fault)
 
-    def run_schedule(self, schedule, fault_step, fault):
+    def check_schedule(self, schedule, fault_step, fault):
         store, base = make_store()
         operators = [
-            Operator(store, make_edit(base, name, add_customer(name)))
+            Operator(store, make_edit(base, name, make_customer_change(name)))
             for name in ("ana", "bo")
         ]
         for step, index in enumerate(schedule):
@@ -231,19 +235,25 @@
         # exactly once; one reported as not run must never appear there.
         for seed in range(600):
             with self.subTest(seed=seed):
-                self.run_seed(random.Random(seed))
+                self.check_random_faults(random.Random(seed))
 
-    def run_seed(self, rng):
+    def check_random_faults(self, rng):
         store, base = make_store()
         edits = [
-            make_edit(base, "ana", add_customer("c", weight=2.0)),
-            make_edit(base, "bo", add_customer("c", weight=3.0), add_customer("d")),
-            make_edit(base, "cid", add_customer("e")),
+            make_edit(base, "ana", make_customer_change("c", weight=2.0)),
+            make_edit(
+                base,
+                "bo",
+                make_customer_change("c", weight=3.0),
+                make_customer_change("d"),
+            ),
+            make_edit(base, "cid", make_customer_change("e")),
         ]
         operators = [Operator(store, edit) for edit in edits]
         while not all(operator.done for operator in operators):
             fault = rng.choice((LOST_REQUEST, LOST_ANSWER, LATE, *[None] * 9))
             rng.choice(operators).step(fault)
+        # Lets a late request take effect.
         store.handle_with_fault(Read(CONFIG_KEY), None)
         written = [cfg.operation for cfg in store.written]
         self.assertEqual(len(written), len(set(written)))
@@ -266,7 +276,7 @@
         # again, Bo writes revision 3. The current value has Bo's operation id; Ana's is
         # only in the history.
         store, base = make_store()
-        ana = Operator(store, make_edit(base, "ana", add_customer("d")))
+        ana = Operator(store, make_edit(base, "ana", make_customer_change("d")))
         ana.step()
         ana.step()
         ana.step(LOST_ANSWER)
@@ -285,7 +295,7 @@
         for steps, outcome in ((0, NOT_RUN), (1, NOT_RUN), (2, UNKNOWN)):
             with self.subTest(steps=steps):
                 store, base = make_store()
-                ana = Operator(store, make_edit(base, "ana", add_customer("d")))
+                ana = Operator(store, make_edit(base, "ana", make_customer_change("d")))
                 for _ in range(steps):
                     ana.step()
                 for _ in range(MAX_SENDS):
@@ -298,12 +308,12 @@
     def test_an_unreadable_stored_value_is_not_overwritten(self):
         store, base = make_store()
         store.values[CONFIG_KEY] = ('{"revision": 9, "newer": true}', 9)
-        ana = Operator(store, make_edit(base, "ana", add_customer("d")))
+        ana = Operator(store, make_edit(base, "ana", make_customer_change("d")))
         self.assertIsInstance(ana.finish().failure(), BadConfiguration)
         self.assertEqual(len(store.written), 1)
 
 
-class TestSetValues(unittest.TestCase):
+class TestEditEntries(unittest.TestCase):
     def test_settings_change_and_add_entries_and_removals_remove_them(self):
         base = make_store()[1]
         lines = [
@@ -311,10 +321,10 @@
             "classes.a.b.deadline=5",
             "customers.d.weight=3",
         ]
-        cfg = set_values(base, lines, [])
+        cfg = edit_entries(base, lines, [])
         self.assertEqual(cfg.rules.customers[0].weight, 2.0)
         self.assertEqual(cfg.rules.classes[0], WorkClass("a.b", deadline=5.0))
-        cfg = set_values(cfg, [], ["customers.d", "classes.a.b"])
+        cfg = edit_entries(cfg, [], ["customers.d", "classes.a.b"])
         self.assertEqual(len(cfg.rules.customers), 1)
         self.assertEqual(parse_document(serialise(cfg)).unwrap(), cfg)
 
@@ -332,4 +342,4 @@
         for settings, removals in cases:
             with self.subTest(settings=settings, removals=removals):
                 with self.assertRaises(BadConfiguration):
-                    set_values(base, settings, removals)
+                    edit_entries(base, settings, removals)
