--- a/src/chervilwing/cli.py
+++ b/src/chervilwing/cli.py
@@ -24,10 +24,13 @@
 
 
 @app.callback()
-def read_links(
+def read_options(
     ctx: typer.Context,
     store: Annotated[
-        str, typer.Option(envvar="CHERVILWING_STORE", help="HOST:PORT")
+        str,
+        typer.Option(
+            envvar="CHERVILWING_STORE", help="HOST:PORT of the key-value service"
+        ),
     ] = "",
     instance: Annotated[
         list[str] | None,
@@ -35,7 +38,11 @@
     ] = None,
     instance_list: Annotated[
         str,
-        typer.Option("--list", envvar="CHERVILWING_INSTANCE_LIST", help="HOST:PORT"),
+        typer.Option(
+            "--list",
+            envvar="CHERVILWING_INSTANCE_LIST",
+            help="HOST:PORT of the instance list",
+        ),
     ] = "",
     timeout: Annotated[
         float, typer.Option(min=0.01, help="seconds for each call")
@@ -62,7 +69,7 @@
 
 
 @key_app.command("hash")
-def hash_from_stdin(as_json: JsonOption = False):
+def print_key_hash(as_json: JsonOption = False):
     """Read an API key from stdin and print its digest for ``key_hashes`` in the rules.
 
     The key is not an argument, as other users of the machine can read arguments.
--- a/src/chervilwing/clients.py
+++ b/src/chervilwing/clients.py
@@ -1,6 +1,8 @@
 """Send the blocking HTTP requests of the operators' tool.
 
-They go to the key-value service, the instance list and the entry instances.
+They go to the key-value service, the instance list and the entry instances. An entry
+instance is an instance that accepts customers' requests; its role on the instance list
+is ``entry``.
 """
 
 import http.client
@@ -29,8 +31,9 @@
 ENTRY_ROLE = "entry"
 STATUS_KEYS = ("name", "data_centre", "revision", "ready", "in_flight", "version")
 UPSTREAM_KEYS = ("name", "pool", "data_centre", "state")
-# The largest stored value is a megabyte and its JSON form may be twice as long. Bounds
-# the memory if the address is wrong and another server sends an endless response.
+# Limits the memory used if the address is wrong and another server sends an endless
+# response. Valid responses are smaller: the largest stored value is a megabyte, and its
+# JSON form may be twice as long.
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
 
@@ -116,7 +119,7 @@
 def run_commit(options, commit) -> Result:
     """Execute the requests of a Commit and return its result.
 
-    Pauses before each request that is sent again.
+    Pauses after each request without a reply.
     """
     step = commit.start()
     while not isinstance(step, Done):
@@ -182,9 +185,9 @@
 def make_empty_configuration(options) -> Result:
     """Return an empty configuration to edit when none is stored.
 
-    If the history shows that one was deleted, the empty configuration gets the deleted
-    revision's number. Instances keep using the deleted revision and ignore lower ones,
-    so the next edit must get a higher number.
+    If a configuration was deleted, the history ends with the revision before it, and
+    the empty configuration gets the deleted revision's number. Instances keep using the
+    deleted revision and ignore lower ones, so the next edit must get a higher number.
     """
     return list_revisions(options).map(
         lambda revisions: (
@@ -201,22 +204,23 @@
 
 
 def list_instances(options) -> Result[tuple[Address, ...], ChervilwingError]:
-    """Return the entry instances given as options, or else those on the list."""
+    """Return the entry instances' addresses, from the options or else the list."""
     if options.instances or options.instance_list is None:
         return Success(options.instances)
     result = request_json(options.instance_list, "GET", "/list", None, options.timeout)
     return result.bind(
-        _make_checked_parser(_parse_entry_addresses, options.instance_list)
+        _make_checked_parser(_parse_instance_addresses, options.instance_list)
     )
 
 
-def _parse_entry_addresses(payload):
+def _parse_instance_addresses(payload):
     rows = (row for row in payload["instances"] if row["role"] == ENTRY_ROLE)
     return tuple(Address(row["host"], int(row["port"])) for row in rows)
 
 
 def _request_instance(options, address, method, path, body=None):
-    # The platform's services don't check the operators' key, so it isn't sent there.
+    # Only requests to instances carry the operators' key. The key-value service and the
+    # instance list don't check it.
     operator_key = options.operator_key
     return request_json(address, method, path, body, options.timeout, operator_key)
 
--- a/src/chervilwing/console.py
+++ b/src/chervilwing/console.py
@@ -18,15 +18,24 @@
 )
 from .tables import render_overlaps
 
-OK, FAILED, USAGE, CONFLICT, UNREACHABLE, IN_DOUBT, BAD_DOCUMENT, LAGGING = range(8)
+(
+    EXIT_OK,
+    EXIT_FAILED,
+    EXIT_USAGE,
+    EXIT_CONFLICT,
+    EXIT_UNREACHABLE,
+    EXIT_IN_DOUBT,
+    EXIT_BAD_CONFIGURATION,
+    EXIT_LAGGING,
+) = range(8)
 # The first row whose type matches the failure gives the exit code.
 EXIT_CODES = (
-    (BadSetting, USAGE),
-    (BadConfiguration, BAD_DOCUMENT),
-    (Conflict, CONFLICT),
-    (PlatformDown, UNREACHABLE),
-    (Unreachable, UNREACHABLE),
-    (ChervilwingError, FAILED),
+    (BadSetting, EXIT_USAGE),
+    (BadConfiguration, EXIT_BAD_CONFIGURATION),
+    (Conflict, EXIT_CONFLICT),
+    (PlatformDown, EXIT_UNREACHABLE),
+    (Unreachable, EXIT_UNREACHABLE),
+    (ChervilwingError, EXIT_FAILED),
 )
 EXIT_HELP = (
     "Exit codes: 0 done, 1 failed, 2 usage or bad setting, 3 conflict, 4 unreachable, "
@@ -64,7 +73,7 @@
 def find_exit_code(exc):
     """Return the exit code of a failure."""
     if isinstance(exc, PlatformDown) and exc.outcome == UNKNOWN:
-        return IN_DOUBT
+        return EXIT_IN_DOUBT
     return next(code for type_, code in EXIT_CODES if isinstance(exc, type_))
 
 
--- a/src/chervilwing/fleet_commands.py
+++ b/src/chervilwing/fleet_commands.py
@@ -7,8 +7,8 @@
 from .addresses import format_address
 from .config_commands import config_app, load_current
 from .console import (
-    LAGGING,
-    UNREACHABLE,
+    EXIT_LAGGING,
+    EXIT_UNREACHABLE,
     JsonOption,
     quit_with,
     require_store,
@@ -37,7 +37,8 @@
 def query_status(ctx, as_json):
     """Return one status row for each entry instance.
 
-    ``failure`` is the error text if the instance can't be reached, else None.
+    ``failure`` is the error text if no valid status was received (no connection, an
+    error status or a malformed response), else None.
     """
     rows = []
     for address, result in query_instances(ctx, clients.fetch_status, as_json):
@@ -49,9 +50,9 @@
 
 
 def quit_if_unreachable(rows):
-    """Exit with UNREACHABLE if any row has a failure."""
+    """Exit with EXIT_UNREACHABLE if any row has a failure."""
     if any(row["failure"] for row in rows):
-        raise typer.Exit(UNREACHABLE)
+        raise typer.Exit(EXIT_UNREACHABLE)
 
 
 @config_app.command()
@@ -68,11 +69,11 @@
     )
     quit_if_unreachable(rows)
     if any(row["revision"] != stored for row in rows):
-        raise typer.Exit(LAGGING)
+        raise typer.Exit(EXIT_LAGGING)
 
 
 def instances(ctx: typer.Context, as_json: JsonOption = False):
-    """Show the entry instances."""
+    """Show each entry instance with its revision, readiness and requests in flight."""
     rows = query_status(ctx, as_json)
     columns = (
         "name",
