--- a/src/chervilwing/tables.py
+++ b/src/chervilwing/tables.py
@@ -1,4 +1,4 @@
-"""Render rows as aligned columns, and conflicting edits, as text for operators."""
+"""Render tables and conflicting configuration entries as text for operators."""
 
 import json
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -31,7 +31,10 @@
         return result
 
     def start_store(self):
-        """Start a fake store with examples/andesur in revisions 1 and 2."""
+        """Start a fake store that holds two revisions of the configuration.
+
+        Revision 1 is examples/andesur, revision 2 an edit of it.
+        """
         store = self.processes.start_fake("store")
         self.store = store
         self.options = ["--store", f"127.0.0.1:{store.port}", "--pause", "0"]
@@ -47,7 +50,7 @@
         """Run a command with --json and return the decoded output."""
         return json.loads(self.run_on_store(*args, "--json"))
 
-    def start_daemon(self, name, store, *options):
+    def start_instance(self, name, store, *options):
         """Start an entry instance and wait until it is ready."""
         daemon = self.processes.start_daemon(
             *("--listen", "127.0.0.1:0", "--peer-listen", "127.0.0.1:0"),
@@ -66,7 +69,7 @@
         # key a customer could read `/-/status` and drain one instance after the other.
         store = self.start_store()
         digest = ("--operator-key-hash", hash_key("secret"))
-        entry = self.start_daemon("one", store, *digest)
+        entry = self.start_instance("one", store, *digest)
         paths = ("/-/status", "/-/metrics", "/-/histograms")
         calls = [("GET", path) for path in paths] + [("POST", "/-/drain")]
         for headers in ({}, {"Authorization": "Bearer wrong"}):
@@ -177,11 +180,11 @@
     def test_status_shows_lagging_and_unreachable_instances(self):
         old_store = self.start_store()
         store = self.start_store()
-        first = self.start_daemon("e1", store)
+        first = self.start_instance("e1", store)
         self.run_on_store("rules", "edit", "--set", "customers.austral-buses.weight=2")
         poll(lambda: first.get("/-/status")[1]["revision"] == 3)
         self.run_on_store("config", "status")
-        self.start_daemon("e2", old_store)
+        self.start_instance("e2", old_store)
         value = json.loads(self.run_on_store("config", "status", "--json", code=7))
         revisions = [row["revision"] for row in value["instances"]]
         self.assertEqual((value["stored"], revisions), (3, [3, 2]))
@@ -194,7 +197,7 @@
 
     def test_upstreams_stats_and_drain_with_instances_from_the_list(self):
         store = self.start_store()
-        daemons = [self.start_daemon(name, store) for name in ("e1", "e2")]
+        daemons = [self.start_instance(name, store) for name in ("e1", "e2")]
         rows = [
             {
                 "name": item.info["name"],
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -32,6 +32,7 @@
 
     def test_source_files_exist(self):
         def exists(page, reference):
+            # NAME is a placeholder for any file name.
             return "/NAME." in reference or (ROOT / reference).exists()
 
         self.check_references(SOURCE_PATTERN, exists)
