--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for the outside systems of docs/PROTOCOLS.md, each a process of its own.
+"""Fakes of the external systems that docs/PROTOCOLS.md specifies, one process each.
 
-They are built on ``aiohttp.web``, an HTTP implementation that the daemon doesn't use:
-a fault in the daemon's parser or framing can't hide behind the same fault here.
+They are built on ``aiohttp.web``, an HTTP implementation that the daemons don't use, so
+that a bug in the daemons' parser or framing isn't hidden by the same bug here.
 """
--- a/tests/fakes/__main__.py
+++ b/tests/fakes/__main__.py
@@ -1,4 +1,4 @@
-"""Run one stand-in: ``python -m tests.fakes ROLE --port 0 [options]``."""
+"""Run one fake: ``python -m tests.fakes ROLE --port 0 [options]``."""
 
 import argparse
 import asyncio
@@ -19,21 +19,24 @@
 
 
 def parse_args():
-    """Read the role and its options."""
+    """Parse the role and its options."""
     parser = argparse.ArgumentParser(prog="python -m tests.fakes")
-    roles = parser.add_subparsers(dest="role", required=True)
+    subparsers = parser.add_subparsers(dest="role", required=True)
     for name, module in ROLES.items():
-        role = roles.add_parser(name)
-        role.add_argument("--port", type=int, default=0)
-        module.add_options(role)
+        subparser = subparsers.add_parser(name)
+        subparser.add_argument("--port", type=int, default=0)
+        module.add_options(subparser)
     return parser.parse_args()
 
 
 async def run(options):
-    """Serve until SIGTERM; the relay's port is its own and control is a second one."""
+    """Print the role and its ports as a JSON line, and serve until SIGTERM or SIGINT.
+
+    The relay forwards on a port of its own and is controlled through a second one.
+    """
     stopped = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signum, stopped.set)
     app, relay_port = await ROLES[options.role].build(options)
     runner, port = await listen(app, 0 if relay_port else options.port)
     line = {"role": options.role, "port": relay_port or port, "control": port}
--- a/tests/fakes/cache.py
+++ b/tests/fakes/cache.py
@@ -1,4 +1,4 @@
-"""The prompt prefix cache of the stand-in engine: blocks of text, least recent out."""
+"""Prefix cache of the fake engine: text blocks, least recently used evicted first."""
 
 import hashlib
 import itertools
@@ -6,29 +6,34 @@
 
 from tests.fakes.tokens import count_tokens
 
-BLOCK = 32
-IMPORT_LIMIT = 64
+BLOCK_CHARS = 32
+MAX_IMPORTS = 64
 
 
 def split_blocks(model, text):
-    """Yield the chained digest and the token count of each whole block of the text."""
+    """Yield the digest and the token count of each whole block of the text.
+
+    A digest covers the model and the text up to the end of the block.
+    """
     digest = model
-    for start in range(0, len(text) - BLOCK + 1, BLOCK):
-        block = text[start : start + BLOCK]
+    for start in range(0, len(text) - BLOCK_CHARS + 1, BLOCK_CHARS):
+        block = text[start : start + BLOCK_CHARS]
         digest = hashlib.sha256(f"{digest}\0{block}".encode()).hexdigest()[:16]
         yield digest, count_tokens(block)
 
 
-def count_covered(text, length):
-    """Return how many whole tokens lie in the first ``length`` characters."""
-    counted = count_tokens(text[:length])
-    inside = 0 < length < len(text)
-    cut = inside and not (text[length].isspace() or text[length - 1].isspace())
-    return counted - cut
+def count_whole_tokens(text, length):
+    """Return the number of whole tokens in the first ``length`` characters."""
+    count = count_tokens(text[:length])
+    ends_inside = 0 < length < len(text)
+    splits_token = ends_inside and not (
+        text[length].isspace() or text[length - 1].isspace()
+    )
+    return count - splits_token
 
 
 class PrefixCache:
-    """Blocks by digest and imported KV caches by whole text."""
+    """Text blocks by prefix digest, and imported KV caches by model and text."""
 
     def __init__(self, capacity, publish):
         self.capacity = capacity
@@ -36,24 +41,27 @@
         self.blocks = OrderedDict()
         self.imported = OrderedDict()
 
-    def match(self, model, text):
-        """Return how many tokens of the text need no computing."""
+    def count_cached_tokens(self, model, text):
+        """Return the number of tokens at the start of the text that are cached."""
         digests = [digest for digest, _ in split_blocks(model, text)]
-        found = list(itertools.takewhile(self.blocks.__contains__, digests))
-        self.touch(found)
-        length = len(found) * BLOCK
-        kept = [known for owner, known in self.imported if owner == model]
-        shared = [len(known) for known in kept if text.startswith(known)]
-        whole = [len(text) for known in kept if known.startswith(text)]
-        return count_covered(text, max([length, *shared, *whole]))
+        cached = list(itertools.takewhile(self.blocks.__contains__, digests))
+        self.touch(cached)
+        length = len(cached) * BLOCK_CHARS
+        texts = [imported for owner, imported in self.imported if owner == model]
+        prefix_lengths = [len(prefix) for prefix in texts if text.startswith(prefix)]
+        full_lengths = [len(text) for longer in texts if longer.startswith(text)]
+        return count_whole_tokens(text, max([length, *prefix_lengths, *full_lengths]))
 
     def touch(self, digests):
-        """Make the blocks recent, the first most: one without its prefix is no use."""
+        """Mark the blocks as used, the first as the most recent.
+
+        A block can't be used without the blocks before it, so these are evicted later.
+        """
         for digest in reversed(digests):
             self.blocks.move_to_end(digest)
 
-    def store(self, model, text):
-        """Keep the blocks of the text, and push out the least recently used."""
+    def add_text(self, model, text):
+        """Add the blocks of the text and evict the least recently used."""
         counts = dict(split_blocks(model, text))
         for digest in [digest for digest in counts if digest not in self.blocks]:
             self.publish("store", digest)
@@ -63,12 +71,12 @@
             digest, _ = self.blocks.popitem(last=False)
             self.publish("evict", digest)
 
-    def load(self, model, text):
-        """Keep an imported KV cache, and push out the oldest."""
+    def add_import(self, model, text):
+        """Add an imported KV cache and evict the oldest."""
         self.imported[model, text] = True
-        while len(self.imported) > IMPORT_LIMIT:
+        while len(self.imported) > MAX_IMPORTS:
             self.imported.popitem(last=False)
 
-    def count(self):
-        """Return the tokens held in blocks."""
+    def count_block_tokens(self):
+        """Return the number of tokens in the blocks."""
         return sum(self.blocks.values())
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -1,11 +1,11 @@
-"""A stand-in cloud API and its lagging instance list."""
+"""Fake of the cloud's API, whose instance list lags behind."""
 
 import asyncio
 import itertools
 import time
 
 from tests.fakes.control import (
-    Lagged,
+    LaggedValue,
     Switches,
     build_app,
     drop,
@@ -29,55 +29,57 @@
 
 
 def add_options(parser):
-    """Add the flags of this role."""
-    parser.add_argument("--lag", type=float, default=2.0, help="of the list, seconds")
+    """Add the command-line flags of this fake."""
+    parser.add_argument(
+        "--lag", type=float, default=2.0, help="of the instance list, seconds"
+    )
 
 
 class Cloud:
-    """Instances, purchases and notices."""
+    """State of the cloud: its instances, purchases and notices."""
 
     def __init__(self, options):
         self.switches = Switches(
             refuse_starts=False, refused_zones=(), lose_answers=0, list_frozen=False
         )
-        self.switches.react = self.freeze
+        self.switches.react = self.update_frozen_list
         self.instances = {}
-        self.view = Lagged(options.lag, [])
-        self.frozen_view = None
-        self.bought = {}
+        self.lagged_list = LaggedValue(options.lag, [])
+        self.frozen_list = None
+        self.purchases = {}
         self.requests = []
         self.spares = []
         self.prices = PRICES
-        self.refused = 0
+        self.refused_starts = 0
         self.returned = []
         self.notices = []
-        self.numbers = itertools.count(1)
-        self.noticed = asyncio.Event()
+        self.instance_numbers = itertools.count(1)
+        self.notice_added = asyncio.Event()
 
     def publish(self):
-        """Give the list its newest state, to be seen after the lag."""
-        self.view.put([dict(entry) for entry in self.instances.values()])
+        """Record the current instance list, which callers see after the lag."""
+        self.lagged_list.put([dict(entry) for entry in self.instances.values()])
 
-    async def freeze(self):
-        """Keep the list as callers see it now, or let it go on."""
+    async def update_frozen_list(self):
+        """Freeze the list as callers see it now, or unfreeze it."""
         frozen = self.switches["list_frozen"]
-        self.frozen_view = self.view.get() if frozen else None
+        self.frozen_list = self.lagged_list.get() if frozen else None
 
-    def start(self, bought):
-        """List a bought instance as one of the processes that stand ready, if any."""
+    def start_instance(self, purchase):
+        """List a spare process, if there is one, as the purchased instance."""
         if self.spares:
-            row = {**bought, **self.spares.pop(0), "name": bought["instance"]}
-            row |= {"role": "model", "data_centre": bought["zone"], "state": "live"}
+            row = {**purchase, **self.spares.pop(0), "name": purchase["instance"]}
+            row |= {"role": "model", "data_centre": purchase["zone"], "state": "live"}
             self.instances[row["name"]] = row
             self.publish()
 
     def remove(self, name):
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         if self.instances.pop(name, None):
             self.publish()
 
-    def notify(self, name, seconds):
-        """Give notice to one instance, which ends when the notice does."""
+    def give_notice(self, name, seconds):
+        """Give an instance notice of this many seconds, and remove it at their end."""
         entry = self.instances[name]
         entry["state"] = "leaving"
         self.notices.append(
@@ -92,29 +94,32 @@
 
 
 async def show_prices(cloud, request):
-    """Answer the prices by the hour."""
+    """Return the hourly prices."""
     return reply({"prices": cloud.prices})
 
 
-async def buy(cloud, request):
-    """Start an instance, once for each request id."""
+async def buy_instance(cloud, request):
+    """Start an instance, at most once per request id."""
     body = await read_json(request)
-    key = body.get("request")
-    cloud.requests.append(key)
-    if key not in cloud.bought:
+    request_id = body.get("request")
+    cloud.requests.append(request_id)
+    if request_id not in cloud.purchases:
         refused = body.get("zone") in cloud.switches["refused_zones"]
         if refused or cloud.switches.take("refuse_starts"):
-            cloud.refused += 1
+            cloud.refused_starts += 1
             return reply({"reason": "no capacity"}, 503)
-        cloud.bought[key] = {**body, "instance": f"i-{next(cloud.numbers)}"}
-        cloud.start(cloud.bought[key])
+        cloud.purchases[request_id] = {
+            **body,
+            "instance": f"i-{next(cloud.instance_numbers)}",
+        }
+        cloud.start_instance(cloud.purchases[request_id])
     if cloud.switches.take("lose_answers"):
         await drop(request)
-    return reply({"instance": cloud.bought[key]["instance"]}, 201)
+    return reply({"instance": cloud.purchases[request_id]["instance"]}, 201)
 
 
-async def give_back(cloud, request):
-    """End an instance."""
+async def return_instance(cloud, request):
+    """Remove an instance that its buyer returns."""
     name = request.match_info["name"]
     cloud.returned.append(name)
     cloud.remove(name)
@@ -122,22 +127,22 @@
 
 
 async def show_notices(cloud, request):
-    """Answer the notices after a number, as soon as there is one."""
+    """Return the notices after a sequence number, as soon as there is one."""
     after = int(request.query.get("after", 0))
-    newer = lambda: [notice for notice in cloud.notices if notice["seq"] > after]
+    find_newer = lambda: [notice for notice in cloud.notices if notice["seq"] > after]
     seconds = float(request.query.get("wait", 0))
-    found = await wait_until(newer, lambda: cloud.noticed, seconds)
+    found = await wait_until(find_newer, lambda: cloud.notice_added, seconds)
     return reply({"notices": found or []})
 
 
 async def show_list(cloud, request):
-    """Answer the list as it was."""
-    as_of, instances = cloud.frozen_view or cloud.view.get()
+    """Return the instance list as callers see it: delayed, or frozen by a fault."""
+    as_of, instances = cloud.frozen_list or cloud.lagged_list.get()
     return reply({"as_of": as_of, "instances": instances})
 
 
 async def add_instances(cloud, request):
-    """Put the body's instances on the list."""
+    """Add the instances in the body to the list."""
     for entry in (await read_json(request))["instances"]:
         cloud.instances[entry["name"]] = {"state": "live", **entry}
     cloud.publish()
@@ -145,7 +150,7 @@
 
 
 async def set_up_market(cloud, request):
-    """Set the processes that stand ready for purchases, or the prices."""
+    """Add spare processes for purchases, and replace the prices if the body has any."""
     body = await read_json(request)
     cloud.spares += body.get("spares", [])
     cloud.prices = body.get("prices", cloud.prices)
@@ -153,29 +158,31 @@
 
 
 async def issue_notices(cloud, request):
-    """Give notice to one instance, a zone or a data centre, seconds ahead."""
+    """Give notice, in seconds, to an instance, a zone or a data centre."""
     body = await read_json(request)
-    wanted = {key: body[key] for key in ("name", "zone", "data_centre") if key in body}
-    chosen = [
+    criteria = {
+        key: body[key] for key in ("name", "zone", "data_centre") if key in body
+    }
+    names = [
         name
         for name, entry in cloud.instances.items()
-        if all(entry.get(key) == value for key, value in wanted.items())
+        if all(entry.get(key) == value for key, value in criteria.items())
     ]
-    for name in chosen:
-        cloud.notify(name, float(body["seconds"]))
+    for name in names:
+        cloud.give_notice(name, float(body["seconds"]))
     cloud.publish()
-    cloud.noticed.set()
-    cloud.noticed = asyncio.Event()
-    return reply({"noticed": chosen})
+    cloud.notice_added.set()
+    cloud.notice_added = asyncio.Event()
+    return reply({"noticed": names})
 
 
 def make_record(cloud):
-    """Return what the cloud did; ``instances`` is the truth that the list lags."""
+    """Return what the cloud did; ``instances`` is the current list, without the lag."""
     return {
         "instances": list(cloud.instances.values()),
         "requests": cloud.requests,
-        "bought": list(cloud.bought.values()),
-        "refused_starts": cloud.refused,
+        "bought": list(cloud.purchases.values()),
+        "refused_starts": cloud.refused_starts,
         "returned": cloud.returned,
         "notices": cloud.notices,
     }
@@ -183,8 +190,8 @@
 
 ROUTES = (
     ("GET", "/prices", show_prices),
-    ("POST", "/instances", buy),
-    ("DELETE", "/instances/{name}", give_back),
+    ("POST", "/instances", buy_instance),
+    ("DELETE", "/instances/{name}", return_instance),
     ("GET", "/notices", show_notices),
     ("GET", "/list", show_list),
     ("POST", "/-/instances", add_instances),
@@ -194,6 +201,6 @@
 
 
 async def build(options):
-    """Make the application."""
+    """Return the web application, and None since there is no second port."""
     cloud = Cloud(options)
     return build_app(cloud, make_record, ROUTES), None
--- a/tests/fakes/generation.py
+++ b/tests/fakes/generation.py
@@ -1,4 +1,4 @@
-"""How the stand-in engine runs attempts: slots, prefill, tokens and their faults."""
+"""Attempts of the fake engine: slots, prefill, streamed tokens and their faults."""
 
 import asyncio
 import heapq
@@ -16,7 +16,7 @@
 
 
 class Attempt:
-    """One try of a completion, as the record shows it."""
+    """One attempt at a completion; the record shows most of its attributes by name."""
 
     def __init__(self, body):
         self.id = str(body["attempt"])
@@ -31,20 +31,20 @@
         self.started = None
         self.task = None
 
-    def show(self):
-        """Return the record of this attempt."""
+    def to_record(self):
+        """Return the attributes for the record, by name."""
         hidden = ("task", "prefix")
         return {key: value for key, value in vars(self).items() if key not in hidden}
 
 
 async def acquire(engine, priority):
-    """Wait for a slot, the most urgent first and then in order of arrival."""
+    """Wait for a slot; the lowest priority number goes first, then the earliest."""
     if engine.running < engine.options.slots:
         engine.running += 1
         return
     fut = asyncio.get_running_loop().create_future()
-    heapq.heappush(engine.waiting, (priority, next(engine.tickets), fut))
-    engine.load.put(engine.measure())
+    heapq.heappush(engine.waiting, (priority, next(engine.arrival_numbers), fut))
+    engine.load.put(engine.measure_load())
     try:
         await fut
     except asyncio.CancelledError:
@@ -52,12 +52,12 @@
             release(engine)
         engine.waiting = [item for item in engine.waiting if item[2] is not fut]
         heapq.heapify(engine.waiting)
-        engine.load.put(engine.measure())
+        engine.load.put(engine.measure_load())
         raise
 
 
 def release(engine):
-    """Hand the slot to the next in the queue, or free it."""
+    """Pass the slot to the next attempt in the queue, or free it."""
     while engine.waiting:
         fut = heapq.heappop(engine.waiting)[2]
         if not fut.done():
@@ -66,18 +66,18 @@
     engine.running -= 1
 
 
-async def work(engine, attempt, request):
-    """Take a slot, generate, and note how it ended."""
+async def run_attempt(engine, attempt, request):
+    """Acquire a slot, generate the answer, and record how the attempt ended."""
     try:
         await acquire(engine, attempt.priority)
         attempt.state = "running"
         attempt.started = time.time()
-        engine.load.put(engine.measure())
+        engine.load.put(engine.measure_load())
         try:
             return await generate(engine, attempt, request)
         finally:
             release(engine)
-            engine.load.put(engine.measure())
+            engine.load.put(engine.measure_load())
     except (asyncio.CancelledError, ConnectionError):
         if attempt.state in UNFINISHED:
             attempt.state = "cancelled"
@@ -85,22 +85,23 @@
 
 
 async def generate(engine, attempt, request):
-    """Prefill what isn't cached, then send a token a step, the figures and the end."""
+    """Prefill the uncached tokens, then send each token, the usage and the end mark."""
     await prefill(engine, attempt)
     headers = {"Content-Type": "text/event-stream", "X-Attempt-Id": attempt.id}
     response = web.StreamResponse(headers=headers)
     response.enable_chunked_encoding()
     await response.prepare(request)
     for index in range(attempt.offset, attempt.max_tokens):
-        await strike(engine, attempt, request, response)
+        await apply_token_faults(engine, attempt, request, response)
         await asyncio.sleep(engine.options.token_time * engine.switches["slow"])
-        await response.write(make_event(engine, attempt, index))
+        await response.write(make_token_event(engine, attempt, index))
         attempt.sent += 1
-    await strike(engine, attempt, request, response)
-    await response.write(encode(make_usage(attempt)))
-    # Before the mark goes out: its reader may look at the record, or leave, at once.
+    await apply_token_faults(engine, attempt, request, response)
+    await response.write(encode_event(make_usage_event(attempt)))
+    # Set before the end mark is sent, since its reader may fetch the record or
+    # disconnect at once.
     attempt.state = "completed"
-    engine.cache.store(attempt.model, full_text(attempt))
+    engine.cache.add_text(attempt.model, full_text(attempt))
     if not engine.switches["no_end_mark"]:
         await response.write(END_MARK)
     await response.write_eof()
@@ -108,48 +109,48 @@
 
 
 async def prefill(engine, attempt):
-    """Spend the time of the uncached tokens and count the recomputed ones."""
+    """Sleep as long as the uncached tokens take, and count the recomputed ones."""
     text = attempt.prompt + attempt.prefix
-    attempt.cached = engine.cache.match(attempt.model, text)
-    kept = max(0, attempt.cached - count_tokens(attempt.prompt))
-    attempt.recomputed = attempt.offset - kept
+    attempt.cached = engine.cache.count_cached_tokens(attempt.model, text)
+    reused = max(0, attempt.cached - count_tokens(attempt.prompt))
+    attempt.recomputed = attempt.offset - reused
     uncached = count_tokens(text) - attempt.cached
     await asyncio.sleep(
         uncached * engine.options.prefill_time * engine.switches["slow"]
     )
-    engine.cache.store(attempt.model, text)
+    engine.cache.add_text(attempt.model, text)
 
 
 def full_text(attempt):
-    """Return the prompt and everything generated so far."""
+    """Return the prompt followed by all tokens generated so far."""
     count = attempt.offset + attempt.sent
     return attempt.prompt + "".join(
         expected_tokens(attempt.model, attempt.prompt, count)
     )
 
 
-def encode(data):
+def encode_event(data):
     """Return one server-sent event."""
     return b"data: " + json.dumps(data, separators=(",", ":")).encode() + b"\n\n"
 
 
 def find_other(engine, attempt):
-    """Return the newest attempt of another id, or this one when there is none."""
+    """Return the newest attempt with another id, or this one if there is none."""
     others = (other for other in reversed(engine.attempts) if other.id != attempt.id)
     return next(others, attempt)
 
 
-def make_event(engine, attempt, index):
-    """Return a token's event, of another attempt when ``wrong_attempt`` says so."""
+def make_token_event(engine, attempt, index):
+    """Return a token's event, of another attempt after ``wrong_attempt`` tokens."""
     start = engine.switches["wrong_attempt"]
     crossed = start is not None and attempt.sent >= start
     source = find_other(engine, attempt) if crossed else attempt
     token = make_token(source.model, source.prompt, index)
-    return encode({"attempt": source.id, "index": index, "token": token})
+    return encode_event({"attempt": source.id, "index": index, "token": token})
 
 
-def make_usage(attempt):
-    """Return the figures event."""
+def make_usage_event(attempt):
+    """Return the event with the token counts."""
     usage = {
         "prompt_tokens": count_tokens(attempt.prompt),
         "cached_tokens": attempt.cached,
@@ -159,14 +160,14 @@
     return {"attempt": attempt.id, "usage": usage, "finish_reason": "length"}
 
 
-async def die(attempt, request, response):
-    """Drop the connection in the middle of the answer."""
+async def abort_connection(attempt, request, response):
+    """Abort the connection in the middle of the answer."""
     attempt.state = "dropped"
     await drop(request)
 
 
 async def stall(attempt, request, response):
-    """Send nothing more and keep the connection."""
+    """Send nothing more and keep the connection open."""
     await asyncio.Event().wait()
 
 
@@ -175,12 +176,16 @@
     await response.write(GARBAGE_EVENT)
 
 
-# Each strikes once the attempt has sent as many tokens as its switch says.
-TOKEN_FAULTS = {"die_after": die, "stall_after": stall, "garbage": send_garbage}
+# Each fault applies when the attempt has sent as many tokens as its switch says.
+TOKEN_FAULTS = {
+    "die_after": abort_connection,
+    "stall_after": stall,
+    "garbage": send_garbage,
+}
 
 
-async def strike(engine, attempt, request, response):
-    """Let the faults act that are due after this many tokens."""
+async def apply_token_faults(engine, attempt, request, response):
+    """Apply the faults that are set for the number of tokens sent so far."""
     for name, fault in TOKEN_FAULTS.items():
         if engine.switches[name] == attempt.sent:
             await fault(attempt, request, response)
--- a/tests/fakes/service.py
+++ b/tests/fakes/service.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service: echoes calls and records each effect."""
+"""Fake of a plain service, which echoes calls and records each effect."""
 
 import asyncio
 import hashlib
@@ -7,15 +7,15 @@
 
 from aiohttp import web
 
-from tests.fakes.control import Lagged, Switches, build_app, reply
+from tests.fakes.control import LaggedValue, Switches, build_app, reply
 
 SAFE_METHODS = {"GET", "HEAD", "OPTIONS"}
 FILLER = "chervilwing "
-BODY_SHOWN = 200
+MAX_RECORDED_BODY_BYTES = 200
 
 
 def add_options(parser):
-    """Add the flags of this role."""
+    """Add the command-line flags of this fake."""
     parser.add_argument("--name", default="service")
     parser.add_argument("--slots", type=int, default=8)
     parser.add_argument("--queue-limit", type=int, default=32)
@@ -24,71 +24,72 @@
 
 
 class Service:
-    """Everything that one plain service knows."""
+    """State of one plain service."""
 
     def __init__(self, options):
         self.options = options
+        # ``slow``: seconds added to the work time.
         self.switches = Switches(
             refuse=False, die_before_effect=False, die_after_effect=False, slow=0
         )
         self.semaphore = asyncio.Semaphore(options.slots)
-        self.present = 0
+        self.active_calls = 0
         self.calls = []
         self.effects = []
-        self.load = Lagged(options.load_lag, self.measure())
+        self.load = LaggedValue(options.load_lag, self.measure_load())
 
-    def measure(self):
-        """Return the load of now."""
+    def measure_load(self):
+        """Return the current load."""
         slots = self.options.slots
         return {
-            "running": min(self.present, slots),
-            "waiting": max(0, self.present - slots),
+            "running": min(self.active_calls, slots),
+            "waiting": max(0, self.active_calls - slots),
             "slots": slots,
         }
 
 
-async def answer(service, request):
-    """Run one call to its end, also when its caller leaves, as a real service would."""
+async def handle_call(service, request):
+    """Run a call to its end even if its client disconnects, as a real service would."""
     body = await request.read()
     call = {
         "method": request.method,
         "path": request.path,
         "key": request.headers.get("Idempotency-Key"),
         "attempt": request.headers.get("X-Attempt-Id"),
-        "body": body[:BODY_SHOWN].decode(errors="replace"),
+        "body": body[:MAX_RECORDED_BODY_BYTES].decode(errors="replace"),
         "body_sha256": hashlib.sha256(body).hexdigest(),
         "at": time.time(),
         "outcome": "running",
     }
     service.calls.append(call)
     limit = service.options.slots + service.options.queue_limit
-    if service.switches.take("refuse") or service.present >= limit:
+    if service.switches.take("refuse") or service.active_calls >= limit:
         call["outcome"] = "refused"
         return reply({"reason": "refused"}, 503, X_Not_Run="1")
-    return await asyncio.shield(asyncio.ensure_future(run(service, call, request)))
+    return await asyncio.shield(asyncio.ensure_future(run_call(service, call, request)))
 
 
-async def run(service, call, request):
-    """Take a slot, work, take effect and answer."""
-    service.present += 1
-    service.load.put(service.measure())
+async def run_call(service, call, request):
+    """Wait for a slot and for the work time, apply the effect and answer."""
+    service.active_calls += 1
+    service.load.put(service.measure_load())
     try:
         async with service.semaphore:
             await asyncio.sleep(service.options.work_time + service.switches["slow"])
-            return await take_effect(service, call, request)
+            return await apply_effect(service, call, request)
     finally:
-        service.present -= 1
-        service.load.put(service.measure())
+        service.active_calls -= 1
+        service.load.put(service.measure_load())
 
 
-async def take_effect(service, call, request):
-    """Record the effect between the two points where the service may die."""
+async def apply_effect(service, call, request):
+    """Record the effect, between the two points where the service may die."""
     if service.switches.take("die_before_effect"):
-        return await break_off(call, request)
+        return await abort_connection(call, request)
     if call["method"] not in SAFE_METHODS:
         service.effects.append(call)
     if service.switches.take("die_after_effect"):
-        return await break_off(call, request)
+        return await abort_connection(call, request)
     call["outcome"] = "answered"
     size = int(request.query.get("size", 0))
     if size:
@@ -97,8 +98,8 @@
     return reply({**echo, "service": service.options.name})
 
 
-async def break_off(call, request):
-    """Drop the connection; unlike ``drop`` this returns, as the work is shielded."""
+async def abort_connection(call, request):
+    """Abort the connection; unlike ``drop``, return, so that the shielded call ends."""
     call["outcome"] = "dropped"
     if request.transport is not None:
         request.transport.abort()
@@ -106,13 +107,13 @@
 
 
 async def show_load(service, request):
-    """Report the load as it was a moment ago."""
+    """Return the load as it was ``load_lag`` seconds ago."""
     as_of, load = service.load.get()
     return reply({**load, "as_of": as_of})
 
 
 def make_record(service):
-    """Return calls and effects; an effect counts by its key and by its body."""
+    """Return the calls and the effects, which are also counted by key and by body."""
     keys = (effect["key"] for effect in service.effects if effect["key"])
     return {
         "calls": service.calls,
@@ -122,10 +123,10 @@
     }
 
 
-ROUTES = (("GET", "/-/load", show_load), ("*", "/{path:.*}", answer))
+ROUTES = (("GET", "/-/load", show_load), ("*", "/{path:.*}", handle_call))
 
 
 async def build(options):
-    """Make the application."""
+    """Return the web application, and None since there is no second port."""
     service = Service(options)
     return build_app(service, make_record, ROUTES), None
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -1,4 +1,4 @@
-"""A stand-in key-value service: compare-and-swap, leases, watches, rates, outages."""
+"""Fake of a key-value store: compare-and-swap, leases, watches, rates, outages."""
 
 import asyncio
 import itertools
@@ -15,93 +15,100 @@
     wait_until,
 )
 
-VALUE_LIMIT = 1_000_000
-CONTROL = "/-/"
+MAX_VALUE_BYTES = 1_000_000
+CONTROL_PREFIX = "/-/"
 
 
 def add_options(parser):
-    """Add the flags of this role."""
-    parser.add_argument("--writes", type=float, default=500, help="a second")
-    parser.add_argument("--reads", type=float, default=2000, help="a second")
+    """Add the command-line flags of this fake."""
+    parser.add_argument("--writes", type=float, default=500, help="limit per second")
+    parser.add_argument("--reads", type=float, default=2000, help="limit per second")
 
 
-class Rate:
-    """A token bucket that holds one second's calls."""
+class TokenBucket:
+    """A token bucket with room for the calls of one second."""
 
     def __init__(self, limit):
-        self.limit = self.left = max(1, limit)
-        self.filled = time.monotonic()
+        self.limit = self.tokens = max(1, limit)
+        self.refilled_at = time.monotonic()
 
-    def take(self):
-        """Tell whether one more call is within the rate."""
+    def acquire(self):
+        """Return whether one more call is within the rate, and count it."""
         now = time.monotonic()
-        self.left = min(self.limit, self.left + (now - self.filled) * self.limit)
-        self.filled = now
-        if self.left < 1:
+        self.tokens = min(
+            self.limit, self.tokens + (now - self.refilled_at) * self.limit
+        )
+        self.refilled_at = now
+        if self.tokens < 1:
             return False
-        self.left -= 1
+        self.tokens -= 1
         return True
 
 
 class Store:
-    """Keys, versions, leases and counts."""
+    """State of the store: its keys, versions, leases and counters."""
 
     def __init__(self, options):
+        # ``down``: a key of OUTAGES. ``slow``: seconds per call. ``reject``: the share
+        # of calls that are rejected.
         self.switches = Switches(down=False, slow=0, lose_answer=False, reject=0)
         self.switches.react = self.end_watches
-        self.rates = {"writes": Rate(options.writes), "reads": Rate(options.reads)}
+        self.rates = {
+            "writes": TokenBucket(options.writes),
+            "reads": TokenBucket(options.reads),
+        }
         self.calls = dict.fromkeys(("writes", "reads", "over_rate", "rejected"), 0)
-        self.lost = 0
+        self.lost_answers = 0
         self.values = {}
-        # Outlives the values, so that a version never falls after a deletion.
+        # Kept after a deletion, so that the version of a key never decreases.
         self.versions = {}
-        self.owners = {}
+        self.key_leases = {}
         self.leases = {}
         self.lease_ids = itertools.count(1)
         self.writes = []
-        self.reject_debt = 0.0
-        self.written = asyncio.Event()
+        self.due_rejections = 0.0
+        self.changed = asyncio.Event()
 
     def version(self, key):
-        """Return the version of a key, 0 when it doesn't exist."""
+        """Return the version of a key, or 0 if it doesn't exist."""
         return self.versions[key] if key in self.values else 0
 
-    def shown(self, key):
+    def make_entry(self, key):
         """Return the value and version of a key."""
         return {"value": self.values.get(key), "version": self.version(key)}
 
     def put(self, key, value, lease):
-        """Write a key, tie it to its lease and wake the watches."""
+        """Write a key, attach it to its lease and wake the watches."""
         self.values[key] = value
         self.versions[key] = self.versions.get(key, 0) + 1
-        self.owners[key] = lease
+        self.key_leases[key] = lease
         entry = {"key": key, "version": self.versions[key], "at": time.time()}
         self.writes.append(entry)
-        self.wake()
+        self.wake_watches()
 
     def delete(self, key):
-        """Delete a key but remember its version."""
+        """Delete a key but keep its version."""
         del self.values[key]
-        del self.owners[key]
-        self.wake()
+        del self.key_leases[key]
+        self.wake_watches()
 
-    def wake(self):
-        """Let each watch look again."""
-        self.written.set()
-        self.written = asyncio.Event()
+    def wake_watches(self):
+        """Make each watch check its key again."""
+        self.changed.set()
+        self.changed = asyncio.Event()
 
     async def end_watches(self):
-        """Let the watches see an outage."""
-        self.wake()
+        """Make each watch check for an outage."""
+        self.wake_watches()
 
     def end_lease(self, lease):
         """End a lease and delete its keys."""
         self.leases.pop(lease)["timer"].cancel()
-        for key in [key for key, owner in self.owners.items() if owner == lease]:
+        for key in [key for key, held in self.key_leases.items() if held == lease]:
             self.delete(key)
 
     def start_lease(self, lease, ttl):
-        """Start or prolong a lease."""
+        """Start or renew a lease of ``ttl`` seconds."""
         if lease in self.leases:
             self.leases[lease]["timer"].cancel()
         timer = asyncio.get_running_loop().call_later(ttl, self.end_lease, lease)
@@ -109,17 +116,17 @@
 
 
 def unavailable(reason):
-    """Make the answer of a service that is down or over its rate."""
+    """Return a 503 response with this reason."""
     return reply({"reason": reason}, 503)
 
 
 async def refuse(request):
-    """Answer 503."""
+    """Return the response of a store that is down."""
     return unavailable("down")
 
 
 async def hang(request):
-    """Keep the connection and never answer."""
+    """Keep the connection open and never answer."""
     await asyncio.Event().wait()
 
 
@@ -130,23 +137,23 @@
     """Count a call; return why it is refused, or None."""
     kind = "reads" if request.method == "GET" else "writes"
     store.calls[kind] += 1
-    store.reject_debt += store.switches["reject"]
-    if store.reject_debt >= 1:
-        store.reject_debt -= 1
+    store.due_rejections += store.switches["reject"]
+    if store.due_rejections >= 1:
+        store.due_rejections -= 1
         store.calls["rejected"] += 1
         return "rejected"
-    if not store.rates[kind].take():
+    if not store.rates[kind].acquire():
         store.calls["over_rate"] += 1
         return "over rate"
     return None
 
 
-def make_gate(store):
-    """Return the middleware that counts calls and lets the faults act."""
+def make_middleware(store):
+    """Return the middleware that counts calls and applies the faults."""
 
     @web.middleware
-    async def gate(request, handler):
-        if request.path.startswith(CONTROL):
+    async def apply_faults(request, handler):
+        if request.path.startswith(CONTROL_PREFIX):
             return await handler(request)
         if outage := OUTAGES.get(store.switches["down"]):
             return await outage(request)
@@ -155,68 +162,68 @@
         if request.method == "GET":
             await asyncio.sleep(store.switches["slow"])
             return await handler(request)
-        return await write(store, request, handler)
+        return await run_write(store, request, handler)
 
-    return gate
+    return apply_faults
 
 
-async def write(store, request, handler):
-    """Let a write take effect even when its caller leaves, and perhaps lose its answer.
+async def run_write(store, request, handler):
+    """Carry out a write even if its client disconnects; a fault may lose its answer.
 
-    Half of the slowness lies before the effect and half after it, so that a caller's
-    timeout can fall on either side.
+    Half of the ``slow`` delay comes before the effect and half after it, so that a
+    client's timeout can fall on either side.
     """
     await request.read()
     half = store.switches["slow"] / 2
 
-    async def act():
+    async def run():
         await asyncio.sleep(half)
         response = await handler(request)
         await asyncio.sleep(half)
         return response
 
-    response = await asyncio.shield(asyncio.ensure_future(act()))
+    response = await asyncio.shield(asyncio.ensure_future(run()))
     if response.status < 300 and store.switches.take("lose_answer"):
-        store.lost += 1
+        store.lost_answers += 1
         await drop(request)
     return response
 
 
 async def read_key(store, request):
-    """Answer a key's value and version."""
+    """Return a key's value and version."""
     key = request.match_info["key"]
     if key not in store.values:
         return reply({"reason": "no such key"}, 404)
-    return reply(store.shown(key))
+    return reply(store.make_entry(key))
 
 
 async def write_key(store, request):
-    """Compare and swap a key."""
+    """Write a key if it has the expected version."""
     key, body = request.match_info["key"], await read_json(request)
     value, lease = body.get("value"), body.get("lease")
     if not isinstance(value, str) or not isinstance(body.get("expect"), int):
         return reply({"reason": "needs a string value and expect"}, 400)
-    if len(value.encode()) > VALUE_LIMIT:
+    if len(value.encode()) > MAX_VALUE_BYTES:
         return reply({"reason": "value too large"}, 413)
     if lease is not None and lease not in store.leases:
         return reply({"reason": "no such lease"}, 404)
     if store.version(key) != body["expect"]:
-        return reply(store.shown(key), 409)
+        return reply(store.make_entry(key), 409)
     store.put(key, value, lease)
     return reply({"version": store.version(key)})
 
 
 async def delete_key(store, request):
-    """Compare and delete a key."""
+    """Delete a key if it has the expected version."""
     key, body = request.match_info["key"], await read_json(request)
     if key not in store.values or store.version(key) != body.get("expect"):
-        return reply(store.shown(key), 409)
+        return reply(store.make_entry(key), 409)
     store.delete(key)
     return reply({})
 
 
 async def list_keys(store, request):
-    """List the keys of a prefix."""
+    """Return the keys that start with a prefix, with their versions."""
     prefix = request.query.get("prefix", "")
     keys = sorted(key for key in store.values if key.startswith(prefix))
     return reply(
@@ -225,19 +232,19 @@
 
 
 async def watch_key(store, request):
-    """Wait for a newer version; an outage ends the wait."""
+    """Wait for a newer version of a key; an outage ends the wait."""
     key, after = request.query["key"], int(request.query.get("after", 0))
-    changed = lambda: store.switches["down"] or store.version(key) > after
+    is_wait_over = lambda: store.switches["down"] or store.version(key) > after
     seconds = float(request.query.get("wait", 0))
-    if not await wait_until(changed, lambda: store.written, seconds):
+    if not await wait_until(is_wait_over, lambda: store.changed, seconds):
         return web.Response(status=204)
     if outage := OUTAGES.get(store.switches["down"]):
         return await outage(request)
-    return reply(store.shown(key))
+    return reply(store.make_entry(key))
 
 
 async def grant_lease(store, request):
-    """Start a lease."""
+    """Grant a lease."""
     ttl = float((await read_json(request)).get("ttl", 0))
     lease = f"lease-{next(store.lease_ids)}"
     store.start_lease(lease, ttl)
@@ -245,7 +252,7 @@
 
 
 async def renew_lease(store, request):
-    """Prolong a lease that hasn't lapsed."""
+    """Renew a lease that hasn't expired."""
     lease = request.match_info["lease"]
     if lease not in store.leases:
         return reply({"reason": "lease lapsed"}, 404)
@@ -255,7 +262,7 @@
 
 
 async def end_lease(store, request):
-    """End a lease before its time."""
+    """End a lease before it expires."""
     lease = request.match_info["lease"]
     if lease not in store.leases:
         return reply({"reason": "lease lapsed"}, 404)
@@ -265,10 +272,10 @@
 
 
 def make_record(store):
-    """Return what the service counted and wrote."""
+    """Return what the store counted and wrote."""
     return {
         "calls": store.calls,
-        "lost_answers": store.lost,
+        "lost_answers": store.lost_answers,
         "keys": {key: store.version(key) for key in store.values},
         "leases": sorted(store.leases),
         "writes": store.writes,
@@ -288,7 +295,7 @@
 
 
 async def build(options):
-    """Make the application."""
+    """Return the web application, and None since there is no second port."""
     store = Store(options)
-    gate = make_gate(store)
-    return build_app(store, make_record, ROUTES, [gate]), None
+    middleware = make_middleware(store)
+    return build_app(store, make_record, ROUTES, [middleware]), None
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -1,4 +1,4 @@
-"""Each stand-in keeps its protocol, and its faults do what they say."""
+"""Tests of the fakes: each follows its protocol, and its faults act as named."""
 
 import json
 import time
@@ -10,14 +10,14 @@
 PROMPT = "the loss history of truck 17 and of its three drivers since the year 2019"
 
 
-def ask(attempt="a1", count=6, **fields):
-    """Return the body of a completion."""
+def make_completion(attempt="a1", count=6, **fields):
+    """Return the body of a completion request."""
     body = {"model": "demo", "prompt": PROMPT, "max_tokens": count, "attempt": attempt}
     return {**body, **fields}
 
 
 def read_tokens(answer):
-    """Return the tokens of an answer's events."""
+    """Return the tokens in the events of an answer."""
     events = [json.loads(data) for data in answer.events() if data[0] == "{"]
     return [event["token"] for event in events if "token" in event]
 
@@ -31,28 +31,32 @@
 
 class TestEngine(FakeCase):
     def complete(self, engine, **fields):
-        return call(engine.port, "POST", "/v1/completions", ask(**fields))
+        return call(engine.port, "POST", "/v1/completions", make_completion(**fields))
 
-    def test_answers_whole_resumes_and_recomputes_only_without_kv(self):
+    def test_resumed_attempt_recomputes_tokens_only_without_kv_import(self):
         first, second = self.start("engine"), self.start("engine", "--token-time", "60")
         tokens = expected_tokens("demo", PROMPT, 6)
         answer = self.complete(first)
         self.assertEqual(answer.headers["x-attempt-id"], "a1")
         self.assertEqual(read_tokens(answer), tokens)
         self.assertEqual(answer.events()[-1], "[DONE]")
-        again = json.loads(self.complete(first, attempt="again").events()[-2])
-        self.assertGreater(again["usage"]["cached_tokens"], 0)
+        repeat = json.loads(self.complete(first, attempt="again").events()[-2])
+        self.assertGreater(repeat["usage"]["cached_tokens"], 0)
         with Caller(second.port) as caller:
-            rest = {"offset": 4, "prefix": "".join(tokens[:4])}
-            caller.request("POST", "/v1/completions", ask("a2", 9, **rest))
+            resume_fields = {"offset": 4, "prefix": "".join(tokens[:4])}
+            caller.request(
+                "POST", "/v1/completions", make_completion("a2", 9, **resume_fields)
+            )
             caller.read_head()
             export = {"attempt": "a2"}
-            status, kv = call_json(second.port, "POST", "/v1/kv/export", export)
-        self.assertEqual((status, kv["tokens"]), (200, 4))
+            status, kv_cache = call_json(second.port, "POST", "/v1/kv/export", export)
+        self.assertEqual((status, kv_cache["tokens"]), (200, 4))
         self.assertEqual(second.record()["attempts"][0]["recomputed"], 4)
         third = self.start("engine")
-        self.assertEqual(call_json(third.port, "POST", "/v1/kv/import", kv)[0], 200)
-        answer = self.complete(third, attempt="a3", **rest)
+        self.assertEqual(
+            call_json(third.port, "POST", "/v1/kv/import", kv_cache)[0], 200
+        )
+        answer = self.complete(third, attempt="a3", **resume_fields)
         self.assertEqual(read_tokens(answer), tokens[4:])
         self.assertEqual(third.record()["attempts"][0]["recomputed"], 0)
         poll(lambda: second.record()["attempts"][0]["state"] == "cancelled")
@@ -63,7 +67,7 @@
         engine.fault(stall_after=0)
         callers = [Caller(engine.port) for _ in range(3)]
         for number, priority in enumerate((1, 2, 0)):
-            body = ask(f"a{number}", priority=priority)
+            body = make_completion(f"a{number}", priority=priority)
             callers[number].request("POST", "/v1/completions", body)
             poll(lambda n=number: len(engine.record()["attempts"]) == n + 1)
         refused = self.complete(engine, attempt="a4")
@@ -78,7 +82,7 @@
         self.assertEqual(first["state"], "cancelled")
         self.assertLess(high["started"], low["started"])
 
-    def test_faults(self):
+    def test_faults_break_the_answer_as_named(self):
         engine = self.start("engine")
         engine.fault(die_after=3)
         answer = self.complete(engine)
@@ -94,7 +98,7 @@
         self.assertIn(b"not JSON", self.complete(engine, attempt="a4").raw)
         engine.fault(garbage=None, stall_after=2)
         with Caller(engine.port) as caller:
-            caller.request("POST", "/v1/completions", ask("a5"))
+            caller.request("POST", "/v1/completions", make_completion("a5"))
             caller.read_until(b'"index":1')
             stopped = call_json(engine.port, "POST", "/v1/cancel", {"attempt": "a5"})
             self.assertEqual(stopped, (200, {"cancelled": True}))
@@ -103,7 +107,7 @@
         self.assertEqual(states[0], "dropped")
         self.assertEqual(states[4], "cancelled")
 
-    def test_fenced_engine_refuses_an_old_number_and_repeats_nothing(self):
+    def test_orders_run_once_and_only_fenced_engines_refuse_old_ones(self):
         for flag, status in (("--fenced", 409), ("--unfenced", 200)):
             with self.subTest(flag):
                 engine = self.start("engine", flag)
@@ -119,7 +123,7 @@
 
 
 class TestService(FakeCase):
-    def test_records_effects_also_when_the_answer_is_lost(self):
+    def test_records_effects_even_if_the_answer_is_lost(self):
         service = self.start("service")
         post = lambda: call(
             service.port, "POST", "/notes", b"note-17", {"Idempotency-Key": "k"}
@@ -139,7 +143,7 @@
         body = {"value": value, "expect": expect, "lease": lease}
         return call_json(store.port, "PUT", "/kv/config/now", body)
 
-    def test_swaps_keeps_versions_watches_and_lapses(self):
+    def test_writes_need_expected_version_and_leases_expire(self):
         store = self.start("store")
         lease = call_json(store.port, "POST", "/leases", {"ttl": 1})[1]["lease"]
         self.assertEqual(self.put(store, "a", 0, lease), (200, {"version": 1}))
@@ -153,7 +157,7 @@
             self.assertEqual(caller.read_answer().json(), {"value": "c", "version": 2})
         self.assertEqual(self.put(store, "x" * 1_000_001, 2)[0], 413)
 
-    def test_faults(self):
+    def test_faults_lose_answers_end_watches_and_limit_rates(self):
         store = self.start("store", "--writes", "3")
         store.fault(lose_answer=1)
         put = json.dumps({"value": "a", "expect": 0}).encode()
@@ -171,7 +175,7 @@
 
 
 class TestCloud(FakeCase):
-    def test_notices_at_once_and_lists_late(self):
+    def test_notices_arrive_at_once_and_the_list_lags(self):
         cloud = self.start("cloud", "--lag", "0.2")
         entry = {"name": "w1", "zone": "a", "port": 1}
         cloud.post("/-/instances", {"instances": [entry]})
@@ -194,7 +198,7 @@
 
 
 class TestRelay(FakeCase):
-    def test_cuts_silences_and_holds(self):
+    def test_cuts_silences_and_holds_connections(self):
         service = self.start("service")
         relay = self.start("relay", "--to", f"127.0.0.1:{service.port}")
         with Caller(relay.port) as old:
@@ -214,5 +218,5 @@
         self.assertRaises(ConnectionRefusedError, Caller, relay.port)
         relay.fault(cut=False)
         self.assertEqual(call(relay.port, "GET", "/six").status, 200)
-        paths = [each["path"] for each in service.record()["calls"]]
+        paths = [recorded["path"] for recorded in service.record()["calls"]]
         self.assertEqual(paths, ["/one", "/three", "/four", "/six"])
