--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,6 +1,6 @@
-"""Tests of chervilwing; ``python -m tests`` runs them all."""
+"""Tests of chervilwing; run them all with ``python -m tests``."""
 
 from loguru import logger
 
-# What the code under test logs in a test's own process would drown the verdict.
+# The log lines of the code under test would hide the test results.
 logger.remove()
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,7 +1,7 @@
-"""Run every test, pass over the known red ones by name, and print one closing line.
+"""Run all tests, tolerate the failures in KNOWN-RED.txt, and print a summary line.
 
-Each test case class is a task of its own, a few at a time, since most of the time goes
-to waiting for processes to start.
+Each test case class is a separate task, and a few tasks run in parallel, since tests
+mostly wait for processes to start.
 """
 
 import sys
@@ -12,20 +12,20 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-# Load: test processes that each start up to ten more. Harm: on a busy machine a process
-# starts too late for its test; four leave most of the cores to what the tests start.
+# Each worker's test starts up to ten more processes, and on a busy machine these start
+# too late for the test. Four workers leave most of the cores to these processes.
 WORKERS = 4
 
 
 class Outcome(NamedTuple):
-    """What one class of tests came to."""
+    """Result of one test case class: its number of tests, and its failures by id."""
 
-    count: int
-    broken: tuple[tuple[str, str], ...]
+    test_count: int
+    failures: tuple[tuple[str, str], ...]
 
 
 def read_known_red(path):
-    """Return test id to whole line for each entry of the known-red list."""
+    """Return the lines of the list of known failures by test id."""
     if not path.exists():
         return {}
     lines = [line for line in path.read_text().splitlines() if line.strip()]
@@ -33,32 +33,34 @@
 
 
 def list_classes(suite):
-    """Return the dotted names of all test classes, in a fixed order."""
+    """Return the set of dotted names of all test case classes."""
     names = set()
-    for item in suite:
-        if isinstance(item, unittest.TestSuite):
-            names |= list_classes(item)
+    for test in suite:
+        if isinstance(test, unittest.TestSuite):
+            names |= list_classes(test)
         else:
-            # A module that can't be imported shows as a test of unittest's own loader.
-            module = type(item).__module__
-            known = module != "unittest.loader"
-            names.add(f"{module}.{type(item).__qualname__}" if known else item.id())
+            # A module that can't be imported appears as a test of unittest's loader.
+            module = type(test).__module__
+            is_importable = module != "unittest.loader"
+            names.add(
+                f"{module}.{type(test).__qualname__}" if is_importable else test.id()
+            )
     return names
 
 
 def run_class(name):
-    """Run the tests of one class in this process."""
+    """Run the tests of one class in this process and return their outcome."""
     suite = unittest.defaultTestLoader.loadTestsFromName(name)
     result = unittest.TestResult()
     suite.run(result)
-    broken = result.failures + result.errors
-    # A failed setUpClass shows as an error without a test of its own.
-    count = max(result.testsRun, len(broken))
-    return Outcome(count, tuple((test.id(), text) for test, text in broken))
+    failures = result.failures + result.errors
+    # A failed setUpClass is an error that isn't counted in testsRun.
+    count = max(result.testsRun, len(failures))
+    return Outcome(count, tuple((test.id(), text) for test, text in failures))
 
 
 def run_all():
-    """Return the outcomes of all classes."""
+    """Run all test case classes in parallel and return their outcomes."""
     suite = unittest.defaultTestLoader.discover(
         str(ROOT / "tests"), top_level_dir=str(ROOT)
     )
@@ -68,16 +70,16 @@
 
 
 def main():
-    """Exit 0 only when every failure is one that KNOWN-RED.txt names."""
-    known = read_known_red(KNOWN_RED)
+    """Return exit code 0 if tests passed and KNOWN-RED.txt lists every failure."""
+    known_red = read_known_red(KNOWN_RED)
     outcomes = run_all()
-    broken = dict(item for outcome in outcomes for item in outcome.broken)
-    for test_id, text in sorted(broken.items()):
+    failures = dict(item for outcome in outcomes for item in outcome.failures)
+    for test_id, text in sorted(failures.items()):
         print(f"{test_id}\n{text}")
-    for test_id in sorted(set(broken) & set(known)):
-        print(f"known red: {known[test_id]}")
-    failed = len(set(broken) - set(known))
-    passed = sum(outcome.count for outcome in outcomes) - len(broken)
+    for test_id in sorted(set(failures) & set(known_red)):
+        print(f"known red: {known_red[test_id]}")
+    failed = len(set(failures) - set(known_red))
+    passed = sum(outcome.test_count for outcome in outcomes) - len(failures)
     print(f"{passed} passed, {failed} failed")
     return 1 if failed or not passed else 0
 
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenario language: its grammar, and the runner on the simulated world."""
+"""The language of the simulated scenarios: its grammar and its runner."""
 
 from pathlib import Path
 
@@ -14,14 +14,14 @@
 ?setup: "instance" NAME "in" NAME              -> instance
     | "shards" INT                             -> shards
     | "engine" NAME "in" NAME                  -> engine
-    | "engine" NAME "in" NAME "ignores" "fences" -> careless_engine
+    | "engine" NAME "in" NAME "ignores" "fences" -> unfenced_engine
     | "work" "takes" TIME                      -> work
     | "seed" INT                               -> seed
     | "run" "for" TIME                         -> run_for
 event: "at" TIME _action
 _action: freeze | kill | boot | reclaim | cut | platform | send | publish | order
 freeze: "freeze" NAME "for" TIME               -> freeze
-    | "freeze" NAME "before" "it" "sends" "for" TIME -> freeze_late
+    | "freeze" NAME "before" "it" "sends" "for" TIME -> freeze_before_send
 kill: "kill" NAME
 boot: "start" NAME
 reclaim: "reclaim" "zone" NAME "notice" TIME
@@ -41,16 +41,16 @@
 expect: "expect" outcome
 ?outcome: "effects" "of" NAME "=" INT          -> effects
     | "answers" "to" NAME "=" NAME ("," NAME)* -> answers
-    | "last" "refusal" "of" NAME "within" TIME -> refusal
+    | "last" "refusal" "of" NAME "within" TIME -> last_refusal
     | "every" "answer" "whole"                 -> whole
     | "not" "run" "only" "said" "when" "true"  -> not_run
     | "revision" "never" "reverts"             -> never_reverts
-    | "revision" INT "everywhere" "at" TIME    -> everywhere
-    | "revision" INT "on" NAME "at" TIME       -> on_one
+    | "revision" INT "everywhere" "at" TIME    -> revision_everywhere
+    | "revision" INT "on" NAME "at" TIME       -> revision_on
     | NAME "not" "ready" "at" TIME             -> not_ready
-    | NAME "hears" "one" "holder" "at" "a" "time" -> one_holder
-    | "orders" "carried" "out" "by" NAME "=" INT -> carried_out
-    | "store" "writes" "<=" INT                -> writes
+    | NAME "hears" "one" "holder" "at" "a" "time" -> fences_in_order
+    | "orders" "carried" "out" "by" NAME "=" INT -> order_count
+    | "store" "writes" "<=" INT                -> store_writes
 NAME: /[a-z][a-z0-9-]*/
 TIME: /\d+(\.\d+)?(ms|s)/
 _NL: /(\r?\n[ \t]*(#[^\n]*)?)+/
@@ -60,66 +60,66 @@
 PARSER = lark.Lark(GRAMMAR, parser="lalr")
 
 
-def read_time(text):
-    """Return the seconds in a time such as ``20ms``."""
+def parse_seconds(text):
+    """Return the seconds in a duration such as ``20ms``."""
     if text.endswith("ms"):
         return float(text[:-2]) / 1000
     return float(text[:-1])
 
 
-def schedule(world, event):
-    """Put an event on the world's clock."""
+def schedule_event(world, event):
+    """Schedule an event on the simulated clock."""
     at, action = event.children
     args = [str(arg) for arg in action.children]
-    world.later(read_time(at), EVENTS[action.data], world, *args)
+    world.later(parse_seconds(at), EVENTS[action.data], world, *args)
 
 
 def run(text):
-    """Play a scenario; return the expectations that fail, as text."""
+    """Run a scenario; return one line of text for each failed expectation."""
     tree = PARSER.parse("\n" + text)
     world = World()
-    length = 60.0
-    expects = []
+    duration = 60.0
+    expectations = []
     for line in tree.children:
         if line.data == "event":
-            schedule(world, line)
+            schedule_event(world, line)
         elif line.data == "expect":
-            expects.append(line.children[0])
+            expectations.append(line.children[0])
         elif line.data == "run_for":
-            length = read_time(line.children[0])
+            duration = parse_seconds(line.children[0])
         else:
             SETUPS[line.data](world, *line.children)
     world.start()
-    world.run(length)
-    results = ((expect, check(world, expect)) for expect in expects)
-    return [f"{expect.data} {wrong}" for expect, wrong in results if wrong]
+    world.run(duration)
+    results = ((expect, check_expectation(world, expect)) for expect in expectations)
+    return [f"{expect.data} {problem}" for expect, problem in results if problem]
 
 
-def check(world, expect):
-    """Return None if the expectation holds, else what was seen."""
+def check_expectation(world, expect):
+    """Return None if the expectation holds, else what was observed."""
     args = [str(arg) for arg in expect.children]
     return EXPECTS[expect.data](world, *args)
 
 
-def reclaim(world, zone, notice):
-    """End all instances of a zone after the notice."""
+def reclaim_zone(world, zone, notice):
+    """Kill all instances of a zone when the notice ends."""
     for node in world.nodes.values():
         if node.zone == zone:
-            world.later(read_time(notice), world.kill, node.name)
+            world.later(parse_seconds(notice), world.kill, node.name)
 
 
-def set_fault(name):
-    """Return an event that sets a fault of the store."""
+def make_fault_handler(name):
+    """Return the handler of an event that sets a fault of the store for a while."""
 
-    def act(world, *times):
-        *value, length = [read_time(time) for time in times]
-        world.store.faults[name] = world.now + length, value[0] if value else True
+    def apply(world, *times):
+        *value, duration = [parse_seconds(time) for time in times]
+        world.store.faults[name] = world.now + duration, value[0] if value else True
 
-    return act
+    return apply
 
 
 def add_instance(world, name, zone):
-    """Add an instance, started with the scenario."""
+    """Add an instance, which starts when the scenario does."""
     world.nodes[str(name)] = Node(world, str(name), str(zone))
 
 
@@ -127,138 +127,144 @@
     "instance": add_instance,
     "shards": lambda w, count: setattr(w, "cfg", w.cfg._replace(shards=int(count))),
     "engine": lambda w, name, zone: w.add_engine(str(name), str(zone)),
-    "careless_engine": lambda w, name, zone: w.add_engine(str(name), str(zone), False),
-    "work": lambda w, time: setattr(w, "work", read_time(time)),
+    "unfenced_engine": lambda w, name, zone: w.add_engine(str(name), str(zone), False),
+    "work": lambda w, time: setattr(w, "work", parse_seconds(time)),
     "seed": lambda w, seed: w.rng.seed(int(seed)),
 }
 EVENTS = {
-    "freeze": lambda w, name, time: w.freeze(name, read_time(time)),
-    "freeze_late": lambda w, name, time: setattr(
-        w.nodes[name], "pause", read_time(time)
+    "freeze": lambda w, name, time: w.freeze(name, parse_seconds(time)),
+    "freeze_before_send": lambda w, name, time: setattr(
+        w.nodes[name], "pause", parse_seconds(time)
     ),
     "kill": lambda w, name: w.kill(name),
     "boot": lambda w, name: w.nodes[name].boot(),
-    "reclaim": reclaim,
-    "cut": lambda w, what, time: w.cut(what, read_time(time)),
+    "reclaim": reclaim_zone,
+    "cut": lambda w, what, time: w.cut(what, parse_seconds(time)),
     "cut_pair": lambda w, name, peer, time: w.cut(
-        frozenset([name, peer]), read_time(time)
+        frozenset([name, peer]), parse_seconds(time)
     ),
-    "down": set_fault("down"),
-    "slow": set_fault("slow"),
-    "delays": set_fault("delays"),
-    "drops": set_fault("drops"),
-    "loses": set_fault("loses"),
+    "down": make_fault_handler("down"),
+    "slow": make_fault_handler("slow"),
+    "delays": make_fault_handler("delays"),
+    "drops": make_fault_handler("drops"),
+    "loses": make_fault_handler("loses"),
     "send": lambda w, note, name: w.send(note, name),
     "send_altered": lambda w, note, name: w.send(note, name, altered=True),
-    "send_old": lambda w, note, name, age: w.send(note, name, age=read_time(age)),
+    "send_old": lambda w, note, name, age: w.send(note, name, age=parse_seconds(age)),
     "publish": lambda w, revision: w.publish(int(revision)),
     "order": lambda w, name, what, engine: w.give_order(name, what, engine),
 }
 
 
 def check_effects(world, note, count):
-    """Compare what the service recorded of a note."""
+    """Check how many times a note took effect at the service."""
     seen = sum(effect.note == note for effect in world.effects)
-    return None if seen == int(count) else f"{note}: {seen}, not {count}"
+    return None if seen == int(count) else f"{note}: {seen} effects, not {count}"
 
 
 def check_answers(world, note, *kinds):
-    """Compare what the callers of a note were told, in the order they sent it."""
+    """Check the kinds of the answers to a note, in the order of the requests."""
     seen = [call.kind or "nothing" for call in world.calls if call.note == note]
     return None if seen == list(kinds) else f"{note}: {seen}, not {list(kinds)}"
 
 
-def check_refusal(world, note, limit):
-    """The last caller of a note was refused, and within a time."""
+def check_last_refusal(world, note, limit):
+    """Check that the last request of a note was refused, and how fast."""
     call = [call for call in world.calls if call.note == note][-1]
     if call.told is None:
         return f"{note}: {call.kind}"
-    took = call.told_at - call.sent_at
-    return None if took <= read_time(limit) else f"{note}: {took * 1000:.0f} ms"
+    elapsed = call.told_at - call.sent_at
+    return (
+        None if elapsed <= parse_seconds(limit) else f"{note}: {elapsed * 1000:.0f} ms"
+    )
 
 
-def check_whole(world):
-    """Every caller has an answer, and an answer with a body is the service's own."""
-    made = {f"{e.note} bound by {e.operation}" for e in world.effects}
+def check_answers_whole(world):
+    """Check that every request has an answer, and every body is from the service."""
+    expected = {f"{e.note} bound by {e.operation}" for e in world.effects}
     calls = [call for call in world.calls if not call.cut]
-    silent = [call.note for call in calls if call.kind is None]
+    unanswered = [call.note for call in calls if call.kind is None]
     bodies = [call for call in calls if call.body is not None]
-    wrong = [c.note for c in bodies if c.body not in made or c.note not in c.body]
-    return f"no answer {silent}, wrong {wrong}" if silent or wrong else None
+    wrong = [c.note for c in bodies if c.body not in expected or c.note not in c.body]
+    return (
+        f"unanswered: {unanswered}, wrong answers: {wrong}"
+        if unanswered or wrong
+        else None
+    )
 
 
 def check_not_run(world):
-    """No request of which a caller was told that it was not run has run."""
+    """Check that no request ran whose caller was told that it was not run."""
     ran = {effect.operation for effect in world.effects}
-    told = [call for call in world.calls if call.told == "not_run"]
-    lies = [call.note for call in told if call.operation in ran]
-    return f"said of {lies}" if lies else None
+    refused = [call for call in world.calls if call.told == "not_run"]
+    false = [call.note for call in refused if call.operation in ran]
+    return f"answered not_run, but ran: {false}" if false else None
 
 
 def check_never_reverts(world):
-    """No instance, also after a restart, serves an older revision than before."""
+    """Check that no instance returns to an older revision, even after a restart."""
     newest = {}
     for time, name, revision in world.in_force:
         if revision < newest.get(name, 0):
             at = time - EPOCH
-            return f"{name} from {newest[name]} to {revision} at {at:.1f}s"
+            return f"{name} reverted from {newest[name]} to {revision} at {at:.1f}s"
         newest[name] = revision
     return None
 
 
-def check_everywhere(world, revision, time):
-    """All live instances serve the revision at a time."""
-    at = EPOCH + read_time(time)
-    near = [seen for seen in world.in_force if abs(seen[0] - at) < 0.05]
-    seen = {name: found for _, name, found in near}
+def check_revision_everywhere(world, revision, time):
+    """Check that all live instances serve the revision at this time."""
+    at = EPOCH + parse_seconds(time)
+    near = [served for served in world.in_force if abs(served[0] - at) < 0.05]
+    seen = {name: number for _, name, number in near}
     live = [node.name for node in world.nodes.values() if node.alive]
     missing = [name for name in live if seen.get(name) != int(revision)]
-    return f"not {revision} on {missing}: {seen}" if missing else None
+    return f"revision {revision} missing on {missing}: {seen}" if missing else None
 
 
-def check_on_one(world, revision, name, time):
-    """One instance serves the revision at a time."""
-    at = EPOCH + read_time(time)
+def check_revision_on(world, revision, name, time):
+    """Check that one instance serves the revision at this time."""
+    at = EPOCH + parse_seconds(time)
     near = [s[2] for s in world.in_force if s[1] == name and abs(s[0] - at) < 0.05]
     return None if near and near[-1] == int(revision) else f"{name} serves {near[-1:]}"
 
 
 def check_not_ready(world, name, time):
-    """An instance isn't ready at a time."""
-    at = EPOCH + read_time(time)
+    """Check that an instance isn't ready at this time."""
+    at = EPOCH + parse_seconds(time)
     near = [s for s in world.in_force if s[1] == name and abs(s[0] - at) < 0.05]
     return f"{name} ready with {near[0][2]}" if near else None
 
 
-def check_one_holder(world, engine):
-    """An engine carries out no order of an old holder after one of a newer."""
+def check_fences_in_order(world, engine):
+    """Check that an engine never carries out an order with an older fencing number."""
     fences = [fence for _, name, _, fence in world.obeyed if name == engine]
     return None if fences == sorted(fences) else f"{engine} obeyed {fences}"
 
 
-def check_carried_out(world, engine, count):
-    """Compare the number of different orders that an engine obeyed."""
+def check_order_count(world, engine, count):
+    """Check the number of different orders that an engine carried out."""
     seen = len({order_id for _, name, order_id, _ in world.obeyed if name == engine})
-    return None if seen == int(count) else f"{engine}: {seen}, not {count}"
+    return None if seen == int(count) else f"{engine}: {seen} orders, not {count}"
 
 
-def check_writes(world, limit):
-    """Compare the writes that the store counted."""
+def check_store_writes(world, limit):
+    """Check that the store received at most this many writes."""
     seen = world.store.counts.get("Write", 0)
-    return None if seen <= int(limit) else f"{seen} > {limit}"
+    return None if seen <= int(limit) else f"{seen} writes > {limit}"
 
 
 EXPECTS = {
     "effects": check_effects,
     "answers": check_answers,
-    "refusal": check_refusal,
-    "whole": check_whole,
+    "last_refusal": check_last_refusal,
+    "whole": check_answers_whole,
     "not_run": check_not_run,
     "never_reverts": check_never_reverts,
-    "everywhere": check_everywhere,
-    "on_one": check_on_one,
+    "revision_everywhere": check_revision_everywhere,
+    "revision_on": check_revision_on,
     "not_ready": check_not_ready,
-    "one_holder": check_one_holder,
-    "carried_out": check_carried_out,
-    "writes": check_writes,
+    "fences_in_order": check_fences_in_order,
+    "order_count": check_order_count,
+    "store_writes": check_store_writes,
 }
