--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -1,4 +1,8 @@
-"""The language of the simulated scenarios: its grammar and its runner."""
+"""The language of the simulated scenarios: its grammar and its runner.
+
+A note is a non-idempotent request with an idempotency key. The platform is the store
+that holds the claims of the keys, the configuration and the leases.
+"""
 
 from pathlib import Path
 
