--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -86,7 +86,6 @@
 def end_unframed(upstream, conn):
     """Send part of an answer without a length, and close the upstream."""
     conn.sendall(HEAD + b"\r\npart")
-    conn.shutdown(socket.SHUT_RDWR)
     upstream.close()
 
 
