--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -22,7 +22,7 @@
 from chervilwing.demands import Demand
 from chervilwing.routing import EngineTraits, PoolTraits
 from chervilwing.sizing import Kind, Sizing
-from chervilwing.stations import NOTHING, add_loads
+from chervilwing.upstream_states import NOTHING, add_loads
 
 from .draws import CENTRES, draw, draw_arrivals, read_ranges
 from .engines import Clock
--- a/src/chervilwing/balancing.py
+++ b/src/chervilwing/balancing.py
@@ -13,7 +13,7 @@
 from .hashing import Ring
 from .prompt_caches import PromptCaches
 from .service_times import ServiceTime
-from .stations import NOTHING, READ_REPORT_TIMEOUT, SentRequest, Station
+from .upstream_states import NOTHING, READ_REPORT_TIMEOUT, SentRequest, Station
 
 # Prompt tokens per second that an engine reads while it also generates; the value used
 # until about twenty answers have been measured.
--- a/src/chervilwing/coordination.py
+++ b/src/chervilwing/coordination.py
@@ -10,21 +10,21 @@
 
 from .addresses import format_address, parse_address
 from .clocks import read_boottime
+from .duty_leases import DutyLease, Record
 from .exceptions import BadConfiguration
-from .items import Committed
+from .instance_count import COUNT, InstanceCount
 from .logs import log_event
 from .mirrors import Mirror
 from .models import Address
 from .rollouts import DECISIONS, decode_decision
-from .roster import COUNT, InstanceCount
+from .store_calls import Committed
 from .stored_crashes import CRASHES, decode_crash
-from .tenures import DutyLease, Record
 
 # Keys of the product itself: running instances, and the holder of the duties.
 INSTANCES = "chervilwing/instances/"
 DUTIES = "chervilwing/instances-duties"
 # Seconds that a watch waits. Each reply proves how fresh the knowledge is, also for the
-# instances that query this one; see fanout.MAX_FRESH_AGE.
+# instances that query this one; see leader_queries.MAX_FRESH_AGE.
 CONFIGURATION_WAIT = 0.4
 REGISTRATIONS_WAIT = 0.4
 INSTANCES_WAIT = 4.0
--- a/src/chervilwing/crash_watch.py
+++ b/src/chervilwing/crash_detection.py
@@ -11,7 +11,7 @@
 
 from .bounds import keep_latest
 from .clocks import read_boottime
-from .crashes import Suspicion
+from .crash_records import Suspicion
 from .logs import log_event
 from .sockets import StreamHandlers, Streams
 
@@ -61,7 +61,7 @@
 class CrashWatch(BaseComponent):
     """Suspect the requests in flight at crashed upstreams; see CrashRecords."""
 
-    channel = "crash-watch"
+    channel = "crash-detection"
 
     def __init__(self, poller, gateway, client):
         super().__init__()
--- a/src/chervilwing/crash_saver.py
+++ b/src/chervilwing/crash_saver.py
@@ -3,9 +3,9 @@
 from circuits.core import BaseComponent, handler
 
 from .clocks import read_boottime
-from .crashes import SUSPECTED_FOR
-from .items import Commit, Committed, Leased, TakeLease
+from .crash_records import SUSPECTED_FOR
 from .logs import log_event
+from .store_calls import Commit, Committed, Leased, TakeLease
 from .stored_crashes import encode_crash
 
 # Seconds after a failed write until the next attempt.
--- a/src/chervilwing/delegation.py
+++ b/src/chervilwing/credit_exchange.py
@@ -5,9 +5,9 @@
 from .allowances import CLAIM_INTERVAL
 from .clocks import read_boottime
 from .credit import Grant, read_claim
-from .fanout import rank
+from .credit_parents import CLAIM_RETRY_INTERVAL, ParentChoice
+from .leader_queries import rank
 from .logs import log_event
-from .parents import CLAIM_RETRY_INTERVAL, ParentChoice
 
 # Kinds of datagrams.
 CLAIM = 3
@@ -24,7 +24,7 @@
 class Delegation(BaseComponent):
     """Claim credit from the instance's parent, and grant it to its children."""
 
-    channel = "delegation"
+    channel = "credit-exchange"
 
     def __init__(self, cfg, datagrams, coordinator, neighbours, gateway):
         super().__init__()
--- a/src/chervilwing/tenures.py
+++ b/src/chervilwing/duty_leases.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from .items import (
+from .store_calls import (
     Commit,
     Committed,
     Conflict,
--- a/src/chervilwing/gateway.py
+++ b/src/chervilwing/gateway.py
@@ -8,8 +8,8 @@
 from .attempts import RETRY_AFTER, Attempts
 from .balancing import PoolBalance
 from .clocks import STARTED_AT, read_boottime
-from .crash_watch import CrashWatch
-from .crashes import CrashRecords
+from .crash_detection import CrashWatch
+from .crash_records import CrashRecords
 from .exceptions import (
     ChervilwingError,
     DeadlinePassed,
@@ -22,7 +22,7 @@
     StaleKeys,
 )
 from .logs import log_event, log_request
-from .placers import PlacingHooks
+from .placer_selection import PlacingHooks
 from .registrations import Registry
 from .relays import Relay, describe_refusal, describe_relay
 from .retry_shares import RetryShares
--- a/src/chervilwing/gatewayd.py
+++ b/src/chervilwing/gatewayd.py
@@ -12,21 +12,21 @@
 from .connections import Client
 from .coordination import Coordinator
 from .crash_saver import CrashSaver
+from .credit_exchange import Delegation
 from .datagrams import Datagrams
-from .delegation import Delegation
 from .exceptions import NotFound
 from .gateway import CurrentLimits, Gateway
 from .gateway_settings import GATEWAY
 from .instance_orders import InstanceOrders
-from .items import EndLease
 from .logs import NonBlockingSink, count_dropped, log_event, set_up_logs
-from .neighbours import Neighbours
-from .placing import Placing
+from .placement_exchange import Placing
 from .pollers import DirectPoller
+from .report_exchange import Neighbours
 from .reports import CONTENT_TYPE, render_metrics
 from .rollout_duty import RolloutDuty
 from .routing import CallerLimits
 from .settings import HELP_FLAGS, render_help
+from .store_calls import EndLease
 from .ticks import tick
 from .usage_reports import UsageParts, UsageReporter
 from .web import Web, WebHandlers
--- a/src/chervilwing/roster.py
+++ b/src/chervilwing/instance_count.py
@@ -5,7 +5,7 @@
 would spend many times a customer's limit. The stored count outlives the registrations.
 """
 
-from .items import Commit
+from .store_calls import Commit
 
 COUNT = "chervilwing/instances-count"
 # Seconds between two writes. When dozens of instances join within a second, a write for
--- a/src/chervilwing/instance_orders.py
+++ b/src/chervilwing/instance_orders.py
@@ -5,7 +5,7 @@
 from circuits.core import BaseComponent, handler
 
 from .clocks import read_boottime
-from .duties import Accepted, Denied, OrderInstances, Outdated
+from .duty_calls import Accepted, Denied, OrderInstances, Outdated
 from .logs import log_event
 from .sizing import Sizing
 
--- a/src/chervilwing/tallies.py
+++ b/src/chervilwing/instance_reports.py
@@ -8,10 +8,10 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-from .crashes import CrashNews
+from .crash_records import CrashNews
 from .fingerprints import REPEAT_SIZE
 from .prompt_caches import TOLD_FOR, Placement
-from .stations import NOTHING, InFlight, add_loads
+from .upstream_states import NOTHING, InFlight, add_loads
 
 # Seconds between two sums of all loads: a leader receives dozens of queries a second,
 # and need not add up the same reports for each of them.
--- a/src/chervilwing/local_stores.py
+++ b/src/chervilwing/local_stores.py
@@ -7,7 +7,9 @@
 from .clocks import read_boottime
 from .coordination import Sources
 from .exceptions import BadConfiguration
-from .items import (
+from .logs import log_event
+from .routing_files import parse_file
+from .store_calls import (
     Changes,
     Commit,
     Committed,
@@ -22,8 +24,6 @@
     TakeLease,
     WatchItems,
 )
-from .logs import log_event
-from .routing_files import parse_file
 
 DOCUMENT_PREFIX = "configuration/"
 UPSTREAM_PREFIX = "upstreams/"
--- a/src/chervilwing/mirrors.py
+++ b/src/chervilwing/mirrors.py
@@ -8,7 +8,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from .items import (
+from .store_calls import (
     Changes,
     HistoryGone,
     Item,
--- a/src/chervilwing/orderer.py
+++ b/src/chervilwing/orderer.py
@@ -6,16 +6,16 @@
 
 from circuits.core import BaseComponent, handler
 
-from .assignments import (
+from .connections import Call
+from .logs import log_event
+from .messages import StoreCall
+from .model_loading import (
     UNLOAD_DELAY,
     Engine,
     Rollout,
     list_wanted_models,
     split_load_limit,
 )
-from .connections import Call
-from .logs import log_event
-from .messages import StoreCall
 from .orders import (
     HOLDING,
     SETTLING,
--- a/src/chervilwing/placement.py
+++ b/src/chervilwing/placement.py
@@ -3,8 +3,8 @@
 from collections import OrderedDict, defaultdict
 
 from .bounds import keep_latest
+from .concurrency_limits import Pace
 from .hashing import Ring
-from .limits import Pace
 from .upstreams import UpstreamState
 
 # Upstreams per prefix: with two, a hot prefix spreads; with more, each cache would hold
--- a/src/chervilwing/placing.py
+++ b/src/chervilwing/placement_exchange.py
@@ -10,9 +10,9 @@
 
 from .balancing import Estimate, Origin, PoolBalance
 from .clocks import read_boottime
-from .fanout import rank
+from .leader_queries import rank
 from .logs import log_event
-from .placers import (
+from .placer_selection import (
     ANSWER_TIMEOUT,
     Answer,
     Ask,
@@ -25,7 +25,7 @@
     read_demand,
 )
 from .relays import Relay
-from .stations import Station
+from .upstream_states import Station
 from .usage import name_process
 
 # Kinds of datagrams; see the head of this module.
@@ -55,7 +55,7 @@
 class Placing(BaseComponent):
     """Ask the placer for upstreams, and answer the instances that ask this one."""
 
-    channel = "placing"
+    channel = "placement-exchange"
 
     def __init__(self, cfg, datagrams, coordinator, gateway):
         super().__init__()
--- a/src/chervilwing/platform/cloud.py
+++ b/src/chervilwing/platform/cloud.py
@@ -3,7 +3,14 @@
 import msgspec
 
 from ..connections import Call
-from ..duties import Accepted, Denied, NoAnswer, OrderInstances, Outdated, ReportUsage
+from ..duty_calls import (
+    Accepted,
+    Denied,
+    NoAnswer,
+    OrderInstances,
+    Outdated,
+    ReportUsage,
+)
 from ..stores import collect
 
 CONNECT_TIMEOUT = 0.5
--- a/src/chervilwing/platform/store.py
+++ b/src/chervilwing/platform/store.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from ..connections import Call
-from ..items import (
+from ..store_calls import (
     Changes,
     Commit,
     Committed,
--- a/src/chervilwing/pools.py
+++ b/src/chervilwing/pools.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple, TypedDict
 
 from .admission import Congestion
+from .concurrency_limits import FALL_WEIGHT
 from .costs import SAMPLE_WEIGHT, blend
-from .limits import FALL_WEIGHT
 from .models import MODEL, SERVICE
 from .placement import PoolState
 from .queues import BANDS, GUARANTEED_SHARE, LANES, SHORT, FairQueue
--- a/src/chervilwing/neighbours.py
+++ b/src/chervilwing/report_exchange.py
@@ -8,19 +8,7 @@
 from circuits.core import BaseComponent, handler
 
 from .clocks import read_boottime
-from .fanout import (
-    ALL_LEADERS_WATCH_AGE,
-    MAX_WATCHERS,
-    REACTION_TIME,
-    Fanout,
-    arrange,
-    compute_query_interval,
-    rank,
-)
-from .items import Item
-from .logs import log_event
-from .mirrors import News
-from .tallies import (
+from .instance_reports import (
     REPORT_TIMEOUT,
     SUM_INTERVAL,
     Counts,
@@ -34,6 +22,18 @@
     subtract_counts,
     sum_loads,
 )
+from .leader_queries import (
+    ALL_LEADERS_WATCH_AGE,
+    MAX_WATCHERS,
+    REACTION_TIME,
+    Fanout,
+    arrange,
+    compute_query_interval,
+    rank,
+)
+from .logs import log_event
+from .mirrors import News
+from .store_calls import Item
 from .usage import name_process
 
 # Kinds of datagrams.
@@ -61,7 +61,7 @@
 class Neighbours(BaseComponent):
     """Query the instance that watches the store, and answer queries of others."""
 
-    channel = "neighbours"
+    channel = "report-exchange"
 
     def __init__(self, cfg, datagrams, coordinator, gateway, parts, agreed_time):
         super().__init__()
--- a/src/chervilwing/rollout_duty.py
+++ b/src/chervilwing/rollout_duty.py
@@ -3,7 +3,7 @@
 from circuits.core import BaseComponent, handler
 
 from .clocks import read_boottime
-from .items import Committed
+from .instance_reports import add_totals
 from .logs import log_event
 from .rollouts import (
     Decision,
@@ -13,7 +13,7 @@
     split_answers,
     sum_answers,
 )
-from .tallies import add_totals
+from .store_calls import Committed
 
 # Seconds between two evaluations of the versions' answers.
 EVALUATE_INTERVAL = 0.5
--- a/src/chervilwing/rollouts.py
+++ b/src/chervilwing/rollouts.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from .exceptions import BadConfiguration
-from .items import Commit
-from .tallies import grow
+from .instance_reports import grow
+from .store_calls import Commit
 
 DECISIONS = "chervilwing/instances-rollouts/"
 # Which answers a total counts: the field names of Answers.
--- a/src/chervilwing/scheduling.py
+++ b/src/chervilwing/scheduling.py
@@ -7,13 +7,13 @@
 from . import admission, retries
 from .admission import Prediction
 from .bounds import keep_latest
-from .budgets import Budgets
 from .costs import CostModel
 from .exceptions import NOT_RUN, DeadlinePassed, Scope
 from .models import Customer, WorkClass
 from .pools import Pool, SchedulingSettings
 from .queues import BANDS, LONG, LOWEST_BAND, SHORT, QueuedWork
-from .shares import TrafficSplitter
+from .retry_budgets import Budgets
+from .traffic_splits import TrafficSplitter
 from .upstreams import RunningAttempt
 from .work import BUSY, FAILED, OK, SILENT, Placement, Refusal, Work
 
--- a/src/chervilwing/upstreams.py
+++ b/src/chervilwing/upstreams.py
@@ -4,7 +4,7 @@
 from math import exp
 from typing import NamedTuple
 
-from .limits import Limit
+from .concurrency_limits import Limit
 from .work import Work
 
 # Requests sent less than this many seconds before a report may have been in transit and
--- a/src/chervilwing/usage_reports.py
+++ b/src/chervilwing/usage_reports.py
@@ -5,9 +5,9 @@
 from circuits.core import BaseComponent, handler
 
 from .clocks import read_boottime
-from .duties import Accepted, Outdated, ReportUsage
-from .items import Commit, Committed, Conflict, ListItems, Page
+from .duty_calls import Accepted, Outdated, ReportUsage
 from .logs import log_event
+from .store_calls import Commit, Committed, Conflict, ListItems, Page
 from .usage import (
     MAX_WINDOWS,
     ReceivedCounts,
--- a/tests/crash_fleet.py
+++ b/tests/crash_fleet.py
@@ -8,9 +8,9 @@
 from itertools import count
 from typing import NamedTuple
 
-from chervilwing.crashes import CrashRecords, Suspicion
+from chervilwing.crash_records import CrashRecords, Suspicion
 from chervilwing.exceptions import RequestBarred
-from chervilwing.fanout import ASK_EVERY, Fanout, arrange
+from chervilwing.leader_queries import ASK_EVERY, Fanout, arrange
 from chervilwing.stored_crashes import decode_crash, encode_crash
 
 STEP = 0.05
--- a/tests/credit_fleet.py
+++ b/tests/credit_fleet.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from chervilwing.allowances import CLAIM_INTERVAL, Allowances
-from chervilwing.parents import CLAIM_RETRY_INTERVAL, ParentChoice
+from chervilwing.credit_parents import CLAIM_RETRY_INTERVAL, ParentChoice
 from chervilwing.routing import Organisation
 from chervilwing.upstream_limits import UpstreamLimits
 
--- a/tests/limiting.py
+++ b/tests/limiting_upstreams.py
@@ -3,7 +3,7 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 
-from tests.crashing import EVENT, HEAD
+from tests.crashing_upstreams import EVENT, HEAD
 from tests.upstreams import RawUpstream
 
 MAX_CALLERS = 16
--- a/tests/old_loads.py
+++ b/tests/outdated_loads.py
@@ -16,7 +16,7 @@
 from chervilwing.models import Address
 from chervilwing.registrations import Registration
 from chervilwing.routing import EngineTraits, PoolTraits
-from chervilwing.stations import InFlight
+from chervilwing.upstream_states import InFlight
 
 TRAITS = PoolTraits("engines", engine=EngineTraits(64, 372_000))
 # Prompt tokens per second that an engine reads while it also generates.
--- a/tests/placing_fleet.py
+++ b/tests/placing_fleet.py
@@ -8,13 +8,13 @@
 
 import msgpack
 
-from chervilwing import placing
+from chervilwing import placement_exchange
 from chervilwing.allowances import Allowances
 from chervilwing.balancing import PoolBalance
 from chervilwing.coordination import Peer
 from chervilwing.demands import Demand, PromptPart
 from chervilwing.models import Address
-from chervilwing.placing import Placing
+from chervilwing.placement_exchange import Placing
 from chervilwing.registrations import Registration
 from chervilwing.routing import EngineTraits, PoolTraits
 from chervilwing.upstream_limits import UpstreamLimits
@@ -208,7 +208,7 @@
 
     def run(self, until):
         """Run events and ticks of all instances until a time in seconds."""
-        with mock.patch.object(placing, "read_boottime", lambda: self.now):
+        with mock.patch.object(placement_exchange, "read_boottime", lambda: self.now):
             ticks = self.now
             while self.now < until:
                 due = self._due[0][0] if self._due else until
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -10,7 +10,7 @@
 from chervilwing.models import Address
 from chervilwing.registrations import Registration
 from chervilwing.routing import EngineTraits, PoolTraits
-from chervilwing.stations import InFlight
+from chervilwing.upstream_states import InFlight
 
 ENGINES = PoolTraits("engines", engine=EngineTraits(64, 400_000))
 PAGES = PoolTraits("pages")
--- a/tests/test_crashes.py
+++ b/tests/test_crash_records.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from chervilwing.crashes import (
+from chervilwing.crash_records import (
     ANY,
     CRASH_LIMIT,
     EXEMPT_FOR,
--- a/tests/test_crashes_model.py
+++ b/tests/test_crash_records_model.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from chervilwing.crashes import CRASH_LIMIT
+from chervilwing.crash_records import CRASH_LIMIT
 from tests.crash_fleet import Fleet
 
 # Instances, engines and harmless requests per second.
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -6,11 +6,17 @@
 import unittest
 
 from chervilwing.clocks import read_boottime
-from chervilwing.crashes import CRASH_LIMIT
+from chervilwing.crash_records import CRASH_LIMIT
 from chervilwing.fingerprints import fingerprint_repeats
 from chervilwing.parsers import HttpRequest
 from chervilwing.platform.headers import DIALECT
-from tests.crashing import COMPLETE, CRASHING, HEAD, CrashingUpstream, count_crashed
+from tests.crashing_upstreams import (
+    COMPLETE,
+    CRASHING,
+    HEAD,
+    CrashingUpstream,
+    count_crashed,
+)
 from tests.gateways import GatewayRun, make_document
 from tests.procs import CHUNK, HOST, Caller, poll
 from tests.test_gateway import break_off
--- a/tests/test_parents.py
+++ b/tests/test_credit_parents.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from chervilwing.parents import PARENT_TIMEOUT, PROBE_INTERVAL, ParentChoice
+from chervilwing.credit_parents import PARENT_TIMEOUT, PROBE_INTERVAL, ParentChoice
 
 GROUP = ["group-1", "group-2"]
 ALL = ["other-1", "group-1", "other-2", "group-2"]
--- a/tests/test_tenures.py
+++ b/tests/test_duty_leases.py
@@ -3,7 +3,8 @@
 import random
 import unittest
 
-from chervilwing.items import (
+from chervilwing.duty_leases import DutyLease, Record
+from chervilwing.store_calls import (
     Commit,
     Committed,
     Conflict,
@@ -14,7 +15,6 @@
     TakeLease,
     Unavailable,
 )
-from chervilwing.tenures import DutyLease, Record
 
 TTL = 3.0
 
--- a/tests/test_tenures_explored.py
+++ b/tests/test_duty_leases_randomised.py
@@ -11,7 +11,8 @@
 import unittest
 from itertools import pairwise
 
-from chervilwing.items import (
+from chervilwing.duty_leases import DutyLease, Record
+from chervilwing.store_calls import (
     Committed,
     Conflict,
     Item,
@@ -21,7 +22,6 @@
     TakeLease,
     Unavailable,
 )
-from chervilwing.tenures import DutyLease, Record
 
 TTL = 3.0
 KEY = "duty"
--- a/tests/test_roster.py
+++ b/tests/test_instance_count.py
@@ -2,8 +2,13 @@
 
 import unittest
 
-from chervilwing.items import Item
-from chervilwing.roster import COUNT, SHRINK_AFTER, WRITE_INTERVAL, InstanceCount
+from chervilwing.instance_count import (
+    COUNT,
+    SHRINK_AFTER,
+    WRITE_INTERVAL,
+    InstanceCount,
+)
+from chervilwing.store_calls import Item
 
 
 def make_stored_count(count):
--- a/tests/test_tallies.py
+++ b/tests/test_instance_reports.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from chervilwing.crashes import CrashNews
-from chervilwing.stations import InFlight
-from chervilwing.tallies import Counts, ReportSums, read_crash_news
+from chervilwing.crash_records import CrashNews
+from chervilwing.instance_reports import Counts, ReportSums, read_crash_news
+from chervilwing.upstream_states import InFlight
 
 
 def make_counts(work, requests=0):
--- a/tests/test_fanout.py
+++ b/tests/test_leader_queries.py
@@ -3,7 +3,7 @@
 import unittest
 from collections import Counter
 
-from chervilwing.fanout import (
+from chervilwing.leader_queries import (
     ASK_EVERY,
     AVOID_SECONDS,
     MAX_FRESH_AGE,
@@ -66,7 +66,7 @@
             self.assertLessEqual(rate, MAX_QUERIES_PER_SECOND)
 
 
-class TestFanout(unittest.TestCase):
+class TestLeaderQueries(unittest.TestCase):
     def setUp(self):
         self.fanout = Fanout()
 
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -5,7 +5,11 @@
 
 from chervilwing.platform.headers import DIALECT
 from tests.gateways import GatewayRun, make_document
-from tests.limiting import LimitingUpstream, count_most_in_window, send_steadily
+from tests.limiting_upstreams import (
+    LimitingUpstream,
+    count_most_in_window,
+    send_steadily,
+)
 from tests.test_platform import PlatformCase
 
 # Requests per second that upstreams state as their limit, and that callers send.
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -3,7 +3,8 @@
 import random
 import unittest
 
-from chervilwing.items import (
+from chervilwing.mirrors import Mirror
+from chervilwing.store_calls import (
     Changes,
     HistoryGone,
     Item,
@@ -12,7 +13,6 @@
     Unavailable,
     WatchItems,
 )
-from chervilwing.mirrors import Mirror
 
 
 def make_mirror():
--- a/tests/test_assignments.py
+++ b/tests/test_model_loading.py
@@ -3,7 +3,7 @@
 import unittest
 from random import Random
 
-from chervilwing.assignments import (
+from chervilwing.model_loading import (
     LOAD_TIMEOUT,
     REFUSED_BACKOFF,
     Engine,
--- a/tests/test_old_loads.py
+++ b/tests/test_outdated_loads.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from tests.old_loads import Simulation
+from tests.outdated_loads import Simulation
 
 
-class TestOldLoads(unittest.TestCase):
+class TestOutdatedLoads(unittest.TestCase):
     def test_outdated_loads_do_not_send_all_gateways_to_one_engine(self):
         # Every gateway receives the loads of all others twice a second. Until the next
         # report, all of them chose the engine that was idle in the last one: half of
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,11 +4,11 @@
 from collections import Counter
 from random import Random
 
+from chervilwing.concurrency_limits import Limit
 from chervilwing.hashing import Ring
-from chervilwing.limits import Limit
 from chervilwing.models import MODEL, Address, Share, Upstream
 from chervilwing.placement import PoolState
-from chervilwing.shares import WINDOW_REQUESTS, TrafficSplitter
+from chervilwing.traffic_splits import WINDOW_REQUESTS, TrafficSplitter
 from chervilwing.upstreams import RunningAttempt
 from chervilwing.work import Work
 
--- a/tests/test_placers.py
+++ b/tests/test_placer_selection.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from chervilwing.placers import (
+from chervilwing.placer_selection import (
     ASKS_PER_SECOND,
     AVOID_FOR,
     MAX_TIMEOUTS,
--- a/tests/test_placing_model.py
+++ b/tests/test_placing_model.py
@@ -3,8 +3,8 @@
 import unittest
 from collections import Counter
 
-from chervilwing.placers import MAX_TIMEOUTS
-from chervilwing.stations import NOTHING
+from chervilwing.placer_selection import MAX_TIMEOUTS
+from chervilwing.upstream_states import NOTHING
 from tests.placing_fleet import DEADLINE, Fleet
 
 SIZES = (8, 67, 320)
--- a/tests/test_prompt_caches.py
+++ b/tests/test_prompt_caches.py
@@ -6,6 +6,7 @@
 from chervilwing.balancing import PoolBalance
 from chervilwing.demands import Demand, PromptPart
 from chervilwing.dialects import Errand
+from chervilwing.instance_reports import Placements
 from chervilwing.models import Address
 from chervilwing.platform.headers import FETCH, write_headers
 from chervilwing.prompt_caches import (
@@ -16,7 +17,6 @@
 )
 from chervilwing.registrations import Registration
 from chervilwing.routing import EngineTraits, PoolTraits
-from chervilwing.tallies import Placements
 
 MEMORY = 500_000
 # 18 KB a token over 370 Gbit/s: 5,000 tokens take 2 ms.
--- a/tests/test_neighbours.py
+++ b/tests/test_report_exchange.py
@@ -2,7 +2,7 @@
 
 import json
 
-from chervilwing.fanout import rank
+from chervilwing.leader_queries import rank
 from tests.fakes.control import HOST
 from tests.procs import poll, read_file
 from tests.test_platform import PlatformCase
--- a/tests/test_store_watchers.py
+++ b/tests/test_store_watchers.py
@@ -5,11 +5,11 @@
 from unittest import mock
 
 from chervilwing.coordination import Peer
-from chervilwing.crashes import CrashRecords
-from chervilwing.fanout import MAX_FRESH_AGE, MAX_GROUP_SIZE, MAX_WATCHERS, rank
+from chervilwing.crash_records import CrashRecords
+from chervilwing.leader_queries import MAX_FRESH_AGE, MAX_GROUP_SIZE, MAX_WATCHERS, rank
 from chervilwing.mirrors import News
 from chervilwing.models import Address
-from chervilwing.neighbours import Neighbours
+from chervilwing.report_exchange import Neighbours
 from chervilwing.rollouts import Rollouts
 
 TICK = 0.05
@@ -133,7 +133,7 @@
     def run(self, seconds, watched=()):
         """Advance the clock; return the greatest age of the ``watched`` ones' state."""
         end, oldest = self.now + seconds, 0.0
-        with mock.patch("chervilwing.neighbours.read_boottime", lambda: self.now):
+        with mock.patch("chervilwing.report_exchange.read_boottime", lambda: self.now):
             while self.now < end:
                 self.now += TICK
                 for name in self.names:
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -10,18 +10,18 @@
 STREAMS = "tests.test_gateway.TestStreams.test_"
 MIRROR = "tests.test_mirrors.TestMirror.test_"
 NEWS = "tests.test_mirrors.TestNews.test_"
-FANOUT = "tests.test_fanout.TestFanout.test_"
-TENURE = "tests.test_tenures.TestDutyLease.test_"
+LEADER_QUERIES = "tests.test_leader_queries.TestLeaderQueries.test_"
+DUTY_LEASE = "tests.test_duty_leases.TestDutyLease.test_"
 CREDIT = "tests.test_allowances.TestCredit.test_"
 PARTITIONS = "tests.test_allowances.TestPartitions.test_"
 MODEL = "tests.test_allowances_model.TestBound.test_"
 WATCHERS = "tests.test_store_watchers.TestWatchers.test_"
-TALLY = "tests.test_tallies.TestReportSums.test_"
+REPORT_SUMS = "tests.test_instance_reports.TestReportSums.test_"
 SIZING = "tests.test_sizing.TestSizing.test_"
 PLACING = "tests.test_placing_model.TestPlacingModel.test_"
-LOADS = "tests.test_old_loads.TestOldLoads.test_"
+OUTDATED_LOADS = "tests.test_outdated_loads.TestOutdatedLoads.test_"
 ROLLOUTS = "tests.test_rollouts."
-CRASHES = "tests.test_crashes.Test"
+CRASHES = "tests.test_crash_records.Test"
 CRASHING = "tests.test_crashing_requests.TestOneInstance.test_a_crashing_"
 NO_CRASH = "tests.test_crashing_requests.TestNoCrash.test_"
 
@@ -84,7 +84,7 @@
     ),
     Weakness(
         "a barred request is sent",
-        (Edit("crashes", "if self.is_barred(fingerprint, now):", "if False:"),),
+        (Edit("crash_records", "if self.is_barred(fingerprint, now):", "if False:"),),
         (
             CRASHES + "Counting"
             ".test_a_request_is_barred_after_three_crashes_for_a_known_time",
@@ -93,14 +93,14 @@
     ),
     Weakness(
         "a crash counts only once it is proved",
-        (Edit("crashes", "State.ASSUMED, State.PROVED)", "State.PROVED,)"),),
+        (Edit("crash_records", "State.ASSUMED, State.PROVED)", "State.PROVED,)"),),
         (CRASHING + "request_that_is_retried_crashes_three_upstreams",),
     ),
     Weakness(
         "a broken connection proves a crash",
         (
             Edit(
-                "crash_watch",
+                "crash_detection",
                 PROBE_ANSWERED,
                 PROBE_ANSWERED.replace("dismiss(", "prove(probe.upstream, "),
             ),
@@ -109,14 +109,20 @@
     ),
     Weakness(
         "an upstream that answers has crashed all the same",
-        (Edit("crashes", "self._withdraw_crash(upstream, sent_at, now)", "pass"),),
+        (
+            Edit(
+                "crash_records", "self._withdraw_crash(upstream, sent_at, now)", "pass"
+            ),
+        ),
         (NO_CRASH + "an_upstream_that_answers_again_had_not_crashed",),
     ),
     Weakness(
         "an upstream that refuses connections has crashed whatever goes on there",
         (
             Edit(
-                "crash_watch", "if isinstance(exc, REFUSED) and unconnected:", "if exc:"
+                "crash_detection",
+                "if isinstance(exc, REFUSED) and unconnected:",
+                "if exc:",
             ),
         ),
         (
@@ -128,7 +134,7 @@
         "an upstream that stays registered has crashed all the same",
         (
             Edit(
-                "crash_watch",
+                "crash_detection",
                 "if name in self._gateway.registry.members:",
                 "if False:",
             ),
@@ -137,7 +143,13 @@
     ),
     Weakness(
         "the word of an answer takes later crashes back",
-        (Edit("crashes", "if crash is None or crash.at >= at:", "if crash is None:"),),
+        (
+            Edit(
+                "crash_records",
+                "if crash is None or crash.at >= at:",
+                "if crash is None:",
+            ),
+        ),
         (
             CRASHES + "RunningUpstreams"
             ".test_an_old_report_of_an_answer_does_not_withdraw_a_later_crash",
@@ -150,27 +162,39 @@
     ),
     Weakness(
         "a fallback with incomplete news is queried on",
-        (Edit("neighbours", " or not self._is_sufficient(news)", ""),),
+        (Edit("report_exchange", " or not self._is_sufficient(news)", ""),),
         (WATCHERS + "fallback_with_incomplete_news_is_left",),
     ),
     Weakness(
         "a leaving upstream's end is a crash",
-        (Edit("crash_watch", "elif not registration.leaving:", "else:"),),
+        (Edit("crash_detection", "elif not registration.leaving:", "else:"),),
         (NO_CRASH + "requests_at_a_leaving_upstream_are_not_suspected",),
     ),
     Weakness(
         "whose caller left is forgotten",
-        (Edit("crash_watch", "if item.upstream == name and", "if False and"),),
+        (Edit("crash_detection", "if item.upstream == name and", "if False and"),),
         (NO_CRASH + "a_crash_after_the_caller_left_is_detected_by_the_registration",),
     ),
     Weakness(
         "crashes under one name count once",
-        (Edit("crash_watch", 'return f"{name}#{count}" if count', "return name if 1"),),
+        (
+            Edit(
+                "crash_detection",
+                'return f"{name}#{count}" if count',
+                "return name if 1",
+            ),
+        ),
         (NO_CRASH + "each_crash_of_an_upstream_that_keeps_its_name_counts",),
     ),
     Weakness(
         "an answer clears nobody",
-        (Edit("crashes", "self._withdraw_request(fingerprint, now)\n\n", "pass\n\n"),),
+        (
+            Edit(
+                "crash_records",
+                "self._withdraw_request(fingerprint, now)\n\n",
+                "pass\n\n",
+            ),
+        ),
         (
             CRASHES + "Clearing"
             ".test_an_answered_request_is_cleared_despite_old_reports",
@@ -179,9 +203,9 @@
     ),
     Weakness(
         "what was just answered is suspected",
-        (Edit("crashes", "< EXEMPT_FOR", "< 0.0"),),
+        (Edit("crash_records", "< EXEMPT_FOR", "< 0.0"),),
         (
-            "tests.test_crashes_model.TestCrashingRequests."
+            "tests.test_crash_records_model.TestCrashingRequests."
             "test_a_popular_request_is_not_refused_because_of_a_crashing_one",
         ),
     ),
@@ -281,14 +305,20 @@
     ),
     Weakness(
         "every reply counts as fresh",
-        (Edit("fanout", "self.fresh = age <= self._max_age", "self.fresh = True"),),
-        (FANOUT + "reply_of_a_leader_without_the_store_is_not_fresh",),
+        (
+            Edit(
+                "leader_queries",
+                "self.fresh = age <= self._max_age",
+                "self.fresh = True",
+            ),
+        ),
+        (LEADER_QUERIES + "reply_of_a_leader_without_the_store_is_not_fresh",),
     ),
     Weakness(
         "all followers watch after their leader lost the store",
         (
             Edit(
-                "neighbours",
+                "report_exchange",
                 "= informed or (fallback_informed and not unreachable)",
                 "= informed",
             ),
@@ -299,7 +329,7 @@
         "an instance without the store returns borrowed state as fresh",
         (
             Edit(
-                "neighbours",
+                "report_exchange",
                 "self._shares_store_state = informed or not unreachable",
                 "pass",
             ),
@@ -308,13 +338,19 @@
     ),
     Weakness(
         "every leader watches the store whatever the bound",
-        (Edit("neighbours", "if self._max_age <= ALL_LEADERS_WATCH_AGE:", "if True:"),),
+        (
+            Edit(
+                "report_exchange",
+                "if self._max_age <= ALL_LEADERS_WATCH_AGE:",
+                "if True:",
+            ),
+        ),
         (WATCHERS + "two_instances_watch_for_a_large_fleet",),
     ),
     Weakness(
         "a reply to any query is taken as the pending one's",
-        (Edit("fanout", "or self._pending.number != number", ""),),
-        (FANOUT + "reply_to_an_older_query_is_ignored",),
+        (Edit("leader_queries", "or self._pending.number != number", ""),),
+        (LEADER_QUERIES + "reply_to_an_older_query_is_ignored",),
     ),
     Weakness(
         "returned totals count again with each claim",
@@ -407,24 +443,24 @@
         "an answer is taken although its asker went on alone",
         (
             Edit(
-                "placing",
+                "placement_exchange",
                 "item = self._pending.pop(answer.number, None)",
                 "item = self._pending.get(answer.number)",
             ),
-            Edit("placing", "        del self._pending[number]\n", ""),
+            Edit("placement_exchange", "        del self._pending[number]\n", ""),
         ),
         (PLACING + "each_request_is_sent_once",),
     ),
     Weakness(
         "what is placed stays placed",
-        (Edit("stations", "if now >= sent.assumed_ended_at:", "if False:"),),
+        (Edit("upstream_states", "if now >= sent.assumed_ended_at:", "if False:"),),
         (PLACING + "placed_requests_without_reports_expire",),
     ),
     Weakness(
         "a placer's word goes before one's own knowledge",
         (
             Edit(
-                "placing",
+                "placement_exchange",
                 "if station is None or station.registration.leaving:",
                 "if station is None:",
             ),
@@ -440,7 +476,7 @@
                 "return False",
             ),
         ),
-        (LOADS + "an_overloaded_pool_still_serves_what_it_can",),
+        (OUTDATED_LOADS + "an_overloaded_pool_still_serves_what_it_can",),
     ),
     Weakness(
         "who hears nothing goes on to try a version",
@@ -468,23 +504,23 @@
         "a returning leader adds old work",
         (
             Edit(
-                "tallies",
+                "instance_reports",
                 "fraction = REPORT_TIMEOUT / max(REPORT_TIMEOUT, gap)",
                 "fraction = 1.0",
             ),
         ),
-        (TALLY + "returning_leader_adds_no_old_work",),
+        (REPORT_SUMS + "returning_leader_adds_no_old_work",),
     ),
     Weakness(
         "a late report is ignored",
         (
             Edit(
-                "tallies",
+                "instance_reports",
                 "fraction = REPORT_TIMEOUT / max(REPORT_TIMEOUT, gap)",
                 "fraction = float(gap <= REPORT_TIMEOUT)",
             ),
         ),
-        (TALLY + "work_of_a_late_report_counts",),
+        (REPORT_SUMS + "work_of_a_late_report_counts",),
     ),
     Weakness(
         "a restarted upstream is taken as the previous process",
@@ -504,7 +540,7 @@
         "repeated placements never expire",
         (
             Edit(
-                "tallies",
+                "instance_reports",
                 "self._until.setdefault(placement, now + TOLD_FOR)",
                 "self._until[placement] = now + TOLD_FOR",
             ),
@@ -532,7 +568,7 @@
         "old figures are taken as they stand",
         (Edit("balancing", "PEER_PREFILL_WEIGHT = 0.25", "PEER_PREFILL_WEIGHT = 1.0"),),
         (
-            "tests.test_old_loads.TestOldLoads"
+            "tests.test_outdated_loads.TestOutdatedLoads"
             ".test_outdated_loads_do_not_send_all_gateways_to_one_engine",
         ),
     ),
@@ -551,13 +587,13 @@
     ),
     Weakness(
         "a holder acts after its lease may have lapsed",
-        (Edit("tenures", "now >= self._trusted_until:", "False:"),),
-        (TENURE + "no_fencing_number_under_a_possibly_lapsed_lease",),
+        (Edit("duty_leases", "now >= self._trusted_until:", "False:"),),
+        (DUTY_LEASE + "no_fencing_number_under_a_possibly_lapsed_lease",),
     ),
     Weakness(
         "a returning holder acts at once",
-        (Edit("tenures", BACK, "if False:"),),
-        (TENURE + "returning_holder_waits_a_lease_after_its_last_act",),
+        (Edit("duty_leases", BACK, "if False:"),),
+        (DUTY_LEASE + "returning_holder_waits_a_lease_after_its_last_act",),
     ),
     Weakness(
         "lapsed registrations are dropped at once",
