--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -22,7 +22,7 @@
 from chervilwing.demands import Demand
 from chervilwing.routing import EngineTraits, PoolTraits
 from chervilwing.sizing import Kind, Sizing
-from chervilwing.upstream_states import NOTHING, add_loads
+from chervilwing.upstream_states import NO_LOAD, add_loads
 
 from .draws import CENTRES, draw, draw_arrivals, read_ranges
 from .engines import Clock
@@ -163,7 +163,10 @@
                 pool.hear(others, now + 9.0)
                 pool.learn(before[1])
         loads = [
-            {name: station.own for name, station in pool.stations.items()}
+            {
+                name: upstream_state.own_load
+                for name, upstream_state in pool.upstream_states.items()
+            }
             for pool in self.pools
         ]
         placed = [item for pool in self.pools for item in pool.caches.list_recent(now)]
@@ -188,7 +191,7 @@
             self.clock.call(wait, self._ask, caller)
 
     def _choose(self, pool, caller, now):
-        """Return the station of a gateway that the first one chooses for it."""
+        """Return the upstream state of a gateway that the first one chooses for it."""
         if not PLACED:
             return pool.choose(caller.demand, caller.tried, now)
         centre = CENTRES[self.pools.index(pool) % len(CENTRES)]
@@ -197,40 +200,40 @@
         if found is None:
             return None
         self.pools[0].place(caller.demand.request_id, caller.demand, found, now)
-        station, estimate = found
+        upstream_state, estimate = found
         source = estimate.source
         if source is not None:
-            source = pool.stations[source.registration.name]
-        name = station.registration.name
-        return pool.stations[name], estimate._replace(source=source)
+            source = pool.upstream_states[source.registration.name]
+        name = upstream_state.registration.name
+        return pool.upstream_states[name], estimate._replace(source=source)
 
     def _is_near(self, number, caller):
         return CENTRES[number % len(CENTRES)] == caller.arrival.centre
 
     def _send(self, pool, caller, found):
-        station, estimate = found
-        name = station.registration.name
+        upstream_state, estimate = found
+        name = upstream_state.registration.name
         caller.tried.add(name)
-        pool.send(station, caller.demand, estimate, self.clock.now)
+        pool.send(upstream_state, caller.demand, estimate, self.clock.now)
         arrival = caller.arrival
         run = Run(
             arrival.parts,
             arrival.output,
-            lambda event: self._hear(event, pool, caller, station),
+            lambda event: self._hear(event, pool, caller, upstream_state),
             estimate.source and self.market.engines[estimate.source.registration.name],
         )
         self.market.engines[name].arrive(run)
 
-    def _hear(self, event, pool, caller, station):
+    def _hear(self, event, pool, caller, upstream_state):
         now, key = self.clock.now, caller.demand.request_id
         if event == "first":
-            pool.start(station, caller.demand, now)
-            self.pools[0].start_placed(self._find_placed(station), key, now)
+            pool.start(upstream_state, caller.demand, now)
+            self.pools[0].start_placed(self._find_placed(upstream_state), key, now)
             caller.first = caller.first or now
             return
         failed = event == "failed"
-        pool.end(station, caller.demand, failed, now)
-        self.pools[0].end_placed(self._find_placed(station), key, failed, now)
+        pool.end(upstream_state, caller.demand, failed, now)
+        self.pools[0].end_placed(self._find_placed(upstream_state), key, failed, now)
         if event == "done":
             self._began[caller] = caller.first
             return
@@ -238,10 +241,10 @@
         if len(caller.tried) < ATTEMPTS and now < caller.ends_at and found:
             self._send(pool, caller, found)
 
-    def _find_placed(self, station):
-        """Return what the first gateway knows of another one's station."""
-        name = station.registration.name
-        return self.pools[0].stations.get(name, station)
+    def _find_placed(self, upstream_state):
+        """Return what the first gateway knows of another one's upstream state."""
+        name = upstream_state.registration.name
+        return self.pools[0].upstream_states.get(name, upstream_state)
 
     def _earn(self, caller):
         """Return what a caller's answer is worth."""
@@ -307,7 +310,7 @@
         for number, load in enumerate(loads):
             if number != own:
                 for name, one in load.items():
-                    sums[name] = add_loads(sums.get(name, NOTHING), one)
+                    sums[name] = add_loads(sums.get(name, NO_LOAD), one)
         yield sums
 
 
--- a/src/chervilwing/attempts.py
+++ b/src/chervilwing/attempts.py
@@ -70,14 +70,14 @@
     def send(self, relay, choice):
         """Send a request to the chosen upstream; the caller has checked the limits."""
         now = read_boottime()
-        station, estimate = choice
-        relay.station, relay.estimate = station, estimate
+        upstream_state, estimate = choice
+        relay.upstream_state, relay.estimate = upstream_state, estimate
         relay.attempts += 1
-        relay.tried_upstreams.add(station.registration.name)
+        relay.tried_upstreams.add(upstream_state.registration.name)
         relay.sent_at = now
         relay.answer = None
         relay.take_buffered()
-        relay.pool.send(station, relay.demand, estimate, now)
+        relay.pool.send(upstream_state, relay.demand, estimate, now)
         if relay.attempts > 1:
             self._retries.note_retry(relay.pool.traits.name)
         handlers = CallHandlers(
@@ -107,7 +107,7 @@
         req = relay.exchange.req
         route = relay.route
         errand = Errand(
-            relay.station.registration.name,
+            relay.upstream_state.registration.name,
             relay.name,
             relay.deadline - now,
             relay.priority,
@@ -118,7 +118,7 @@
             MAX_IDLE_REPEATABLE if route.repeatable else MAX_IDLE_NON_REPEATABLE
         )
         return Call(
-            relay.station.registration.address,
+            relay.upstream_state.registration.address,
             req.method,
             req.target,
             self._dialect.write_headers(relay.headers, errand),
@@ -161,7 +161,7 @@
         """Record the request limit that an answer states for its upstream."""
         if verdict.limit is not None and verdict.limit < inf:
             relay.limit = verdict.limit
-        name, now = relay.station.registration.name, read_boottime()
+        name, now = relay.upstream_state.registration.name, read_boottime()
         self._gateway.upstream_limits.note_answer(
             name, verdict.limit, relay.sent_at, now
         )
@@ -221,7 +221,7 @@
     def _record_start(self, relay):
         if relay.first_byte_at is None:
             relay.first_byte_at = read_boottime()
-        if relay.pool.start(relay.station, relay.demand, read_boottime()):
+        if relay.pool.start(relay.upstream_state, relay.demand, read_boottime()):
             self._gateway.placing.note_started(relay)
             if relay.answer[0] < MIN_SERVER_ERROR:
                 self._gateway.record_answer(relay, failed=False)
@@ -305,11 +305,11 @@
 
     def end_attempt(self, relay, failed, cancel=False):
         """Record the end of an attempt; ``failed`` is None if its result is unknown."""
-        if relay.station is not None:
+        if relay.upstream_state is not None:
             now = read_boottime()
             if failed:
                 self._gateway.record_answer(relay, failed=True)
-            relay.pool.end(relay.station, relay.demand, failed, now)
+            relay.pool.end(relay.upstream_state, relay.demand, failed, now)
             self._gateway.placing.note_ended(relay, failed)
         if cancel:
             self._client.cancel(relay.call)
--- a/src/chervilwing/balancing.py
+++ b/src/chervilwing/balancing.py
@@ -13,7 +13,7 @@
 from .hashing import Ring
 from .prompt_caches import PromptCaches
 from .service_times import ServiceTime
-from .upstream_states import NOTHING, READ_REPORT_TIMEOUT, SentRequest, Station
+from .upstream_states import NO_LOAD, READ_REPORT_TIMEOUT, SentRequest, UpstreamState
 
 # Prompt tokens per second that an engine reads while it also generates; the value used
 # until about twenty answers have been measured.
@@ -77,7 +77,7 @@
 
     seconds: float
     prefill: int
-    source: Station | None = None
+    source: UpstreamState | None = None
     queued_tokens: int = 0
     lightly_loaded: bool = False
     placer: str = ""
@@ -117,7 +117,7 @@
 
     def __init__(self, traits, data_centre, rng):
         self.traits = traits
-        self.stations = {}
+        self.upstream_states = {}
         self.caches = PromptCaches()
         self.rate = INITIAL_PREFILL_RATE
         # The prefill rate of lightly loaded engines.
@@ -134,11 +134,11 @@
 
     def put(self, registration):
         """Add an upstream, or update its registration."""
-        existing = self.stations.get(registration.name)
+        existing = self.upstream_states.get(registration.name)
         if existing is not None:
             existing.registration = registration
             return
-        self.stations[registration.name] = Station(registration)
+        self.upstream_states[registration.name] = UpstreamState(registration)
         self._ring = None
 
     def hear(self, peer_loads, until, unplaced=NO_LOADS):
@@ -149,46 +149,52 @@
         """
         peer_loads = self._smooth_prefill(peer_loads)
         unplaced = self._smooth_prefill(unplaced) if unplaced else unplaced
-        for name, station in self.stations.items():
-            station.set_peer_load(peer_loads[name], until, unplaced.get(name, NOTHING))
+        for name, upstream_state in self.upstream_states.items():
+            upstream_state.set_peer_load(
+                peer_loads[name], until, unplaced.get(name, NO_LOAD)
+            )
 
     def _smooth_prefill(self, loads):
         """Return the load of each upstream, with prefill tokens moved towards the mean.
 
         See PEER_PREFILL_WEIGHT.
         """
-        station_loads = {name: loads.get(name, NOTHING) for name in self.stations}
-        mean = sum(load.prefill for load in station_loads.values()) / max(
-            1, len(station_loads)
+        upstream_loads = {
+            name: loads.get(name, NO_LOAD) for name in self.upstream_states
+        }
+        mean = sum(load.prefill for load in upstream_loads.values()) / max(
+            1, len(upstream_loads)
         )
         return {
             name: load._replace(
                 prefill=round(mean + PEER_PREFILL_WEIGHT * (load.prefill - mean))
             )
-            for name, load in station_loads.items()
+            for name, load in upstream_loads.items()
         }
 
     def learn(self, placements):
         """Record where other instances recently sent long prompts."""
         if self.traits.engine is not None:
-            reported = [item for item in placements if item.upstream in self.stations]
+            reported = [
+                item for item in placements if item.upstream in self.upstream_states
+            ]
             self.caches.add_reported(reported, self.traits.engine.memory_tokens)
 
     def remove(self, name):
         """Remove an upstream and return its address, or None if it is unknown."""
-        station = self.stations.pop(name, None)
-        if station is None:
+        upstream_state = self.upstream_states.pop(name, None)
+        if upstream_state is None:
             return None
         self._ring = None
         self.caches.remove_upstream(name)
-        return station.registration.address
+        return upstream_state.registration.address
 
     def list_open(self, excluded=()):
         """Return the upstreams that accept new requests, except excluded names."""
         return [
-            station
-            for name, station in self.stations.items()
-            if not station.registration.leaving and name not in excluded
+            upstream_state
+            for name, upstream_state in self.upstream_states.items()
+            if not upstream_state.registration.leaving and name not in excluded
         ]
 
     def choose(self, demand, excluded, now, origin=None):
@@ -203,27 +209,27 @@
         placing = bool(origin.placer)
         prefixes = self._find_cached_prefixes(demand, candidates, placing)
         ranked = []
-        for station in candidates:
-            estimate = self.estimate(station, demand, now, prefixes, placing)
-            score = self._score(station, estimate, origin.centre, now)
+        for upstream_state in candidates:
+            estimate = self.estimate(upstream_state, demand, now, prefixes, placing)
+            score = self._score(upstream_state, estimate, origin.centre, now)
             ranked.append((score, len(ranked), estimate))
         _, index, estimate = min(ranked)
         return candidates[index], estimate._replace(placer=origin.placer)
 
     def estimate(
-        self, station, demand, now, prefixes=NO_CACHED_PREFIXES, placing=False
+        self, upstream_state, demand, now, prefixes=NO_CACHED_PREFIXES, placing=False
     ):
         """Return the Estimate of a request at an upstream, ignoring failure rates.
 
         ``prefixes`` holds the prompt tokens that each upstream probably has cached.
         """
-        load = station.count(now, placing)
+        load = upstream_state.count(now, placing)
         if self.traits.engine is None:
-            slots = max(1, station.registration.slots)
+            slots = max(1, upstream_state.registration.slots)
             rounds = (load.requests + 1) / slots
             seconds = self.service_time.estimate(now) * max(1.0, rounds)
             return Estimate(seconds, 0)
-        cached, fetched, source = self._plan_fetch(station, prefixes)
+        cached, fetched, source = self._plan_fetch(upstream_state, prefixes)
         prefill = max(0, demand.prompt_tokens - cached - fetched)
         seconds = (load.prefill + prefill) / self.rate
         seconds += FIRST_TOKEN_TIME + FIRST_TOKEN_TIME_PER_REQUEST * load.requests
@@ -250,9 +256,9 @@
         limit = max(MIN_QUEUE_LIMIT, shortest * MAX_QUEUE_FRACTION)
         return estimate.queued_tokens / self.rate > limit
 
-    def _plan_fetch(self, station, prefixes):
+    def _plan_fetch(self, upstream_state, prefixes):
         """Return the tokens that an upstream has cached, may fetch, and the source."""
-        name = station.registration.name
+        name = upstream_state.registration.name
         cached = prefixes.tokens.get(name, 0)
         best = next((other for other in prefixes.largest if other != name), None)
         if not self.traits.engine.link_rate or best is None:
@@ -260,7 +266,7 @@
         missing = prefixes.tokens[best] - cached
         if missing < MIN_FETCHED_TOKENS:
             return cached, 0, None
-        return cached, missing, self.stations[best]
+        return cached, missing, self.upstream_states[best]
 
     def _estimate_fetch_time(self, tokens):
         engine = self.traits.engine
@@ -275,10 +281,10 @@
         """Return roughly the seconds until one of the running requests ends."""
         return 1.0 + load.requests / self.traits.engine.slots
 
-    def _score(self, station, estimate, centre, now):
-        remote = station.registration.data_centre != centre
+    def _score(self, upstream_state, estimate, centre, now):
+        remote = upstream_state.registration.data_centre != centre
         seconds = estimate.seconds * self._rng.uniform(1.0, 1.0 + ESTIMATE_JITTER)
-        seconds += station.get_failure_rate(now) * FAILURE_COST
+        seconds += upstream_state.get_failure_rate(now) * FAILURE_COST
         return seconds + (REMOTE_COST if remote else 0.0)
 
     def _find_cached_prefixes(self, demand, candidates, placing=False):
@@ -293,7 +299,8 @@
             return NO_CACHED_PREFIXES
         shared = demand.parts[:-1]
         counted = (
-            (name, self.caches.count_cached(name, shared)) for name in self.stations
+            (name, self.caches.count_cached(name, shared))
+            for name in self.upstream_states
         )
         tokens = {name: count for name, count in counted if count}
         total = sum(part.tokens for part in shared)
@@ -304,9 +311,9 @@
 
     def _find_ring_owner(self, demand, candidates):
         """Return the subject's upstream on the hash ring, as a list of at most one."""
-        names = {station.registration.name for station in candidates}
+        names = {upstream_state.registration.name for upstream_state in candidates}
         if self._ring is None:
-            self._ring = Ring(self.stations)
+            self._ring = Ring(self.upstream_states)
         return self._ring.find(demand.subject, 1, names)
 
     def ask(self, demand, estimate):
@@ -320,11 +327,11 @@
         self.work += estimate.prefill / self.light_load_rate
         self.work += demand.expected_tokens * TOKEN_TIME
 
-    def send(self, station, demand, estimate, now):
+    def send(self, upstream_state, demand, estimate, now):
         """Record that this instance sends a request to an upstream."""
         sent = make_sent(demand, estimate, now)
-        station.ledger.add(demand.request_id, sent)
-        self._record_prompt(station, demand, now)
+        upstream_state.own_requests.add(demand.request_id, sent)
+        self._record_prompt(upstream_state, demand, now)
 
     def place(self, key, demand, found, now):
         """Record that an upstream was chosen for another instance's request.
@@ -332,30 +339,32 @@
         ``key`` identifies the request among those of all other instances. ``found`` is
         the pair of upstream and Estimate.
         """
-        station, estimate = found
+        upstream_state, estimate = found
         sent = make_sent(demand, estimate, now)._replace(
             assumed_read_at=now + 2 * estimate.seconds + READ_REPORT_TIMEOUT,
             assumed_ended_at=demand.deadline,
         )
-        station.placed.add(key, sent)
-        self._record_prompt(station, demand, now)
+        upstream_state.placed_requests.add(key, sent)
+        self._record_prompt(upstream_state, demand, now)
 
-    def _record_prompt(self, station, demand, now):
+    def _record_prompt(self, upstream_state, demand, now):
         if self.traits.engine is not None:
             self.caches.record(
-                station.registration.name,
+                upstream_state.registration.name,
                 demand.parts[:-1],
                 self.traits.engine.memory_tokens,
                 now,
             )
 
-    def start(self, station, demand, now):
+    def start(self, upstream_state, demand, now):
         """Record an answer's first byte; return whether it is the first such call."""
-        return self._update_speed(station.ledger.start(demand.request_id), now)
+        return self._update_speed(
+            upstream_state.own_requests.start(demand.request_id), now
+        )
 
-    def start_placed(self, station, key, now):
+    def start_placed(self, upstream_state, key, now):
         """Record the first byte of an answer to another instance's request."""
-        return self._update_speed(station.placed.start(key), now)
+        return self._update_speed(upstream_state.placed_requests.start(key), now)
 
     def _update_speed(self, sent, now):
         """Update the measured speed from a request whose prompt was just read.
@@ -378,28 +387,28 @@
                 self.light_load_rate = blend(self.light_load_rate, rate)
         return True
 
-    def end_placed(self, station, key, failed, now):
+    def end_placed(self, upstream_state, key, failed, now):
         """Record the end of another instance's attempt.
 
         ``failed`` is None if the attempt says nothing about the upstream.
         """
-        station.placed.remove(key)
+        upstream_state.placed_requests.remove(key)
         if failed is not None:
-            station.record(failed, now)
+            upstream_state.record(failed, now)
 
     def expire_placed(self, now):
         """Expire placed requests that other instances have not reported in time."""
-        for station in self.stations.values():
-            station.placed.expire(now)
+        for upstream_state in self.upstream_states.values():
+            upstream_state.placed_requests.expire(now)
 
-    def end(self, station, demand, failed, now):
+    def end(self, upstream_state, demand, failed, now):
         """Record the end of an attempt of this instance.
 
         ``failed`` is None if the attempt says nothing about the upstream.
         """
-        station.ledger.remove(demand.request_id)
+        upstream_state.own_requests.remove(demand.request_id)
         if failed is not None:
-            station.record(failed, now)
+            upstream_state.record(failed, now)
 
 
 def make_sent(demand, estimate, now):
--- a/src/chervilwing/crash_detection.py
+++ b/src/chervilwing/crash_detection.py
@@ -87,7 +87,7 @@
 
     def note_broken(self, relay, now):
         """Handle an attempt whose connection broke off before the answer's end."""
-        registration = relay.station.registration
+        registration = relay.upstream_state.registration
         if relay.sent_at < self._get_restarts(registration.name).at:
             # The previous process ran it, whose crash is recorded already.
             return
@@ -108,7 +108,7 @@
         a new name at each start, so one that answers after a reported crash has not
         crashed.
         """
-        name = relay.station.registration.name
+        name = relay.upstream_state.registration.name
         if self._gateway.cfg.routes:
             self._record_restart(name)
             return
@@ -119,7 +119,7 @@
     def note_left(self, relay, now):
         """Record that an attempt is abandoned while the upstream may run it."""
         if relay.call is not None and relay.call.conn.sent:
-            name = relay.station.registration.name
+            name = relay.upstream_state.registration.name
             self._abandoned.append(AbandonedAttempt(name, relay.fingerprint, now))
 
     def note_gone(self, registration, now):
@@ -196,7 +196,7 @@
             for relay in self._gateway.relays
             if relay.call is not None
             and relay.call.conn.sent
-            and relay.station.registration.name == name
+            and relay.upstream_state.registration.name == name
             and relay.sent_at >= since
         }
         found |= {
--- a/src/chervilwing/gateway.py
+++ b/src/chervilwing/gateway.py
@@ -151,9 +151,9 @@
 
     def _handle_lost_upstream(self, name):
         for pool in self.pools.values():
-            station = pool.stations.get(name)
-            if station is not None:
-                self.crash_watch.note_gone(station.registration, read_boottime())
+            upstream_state = pool.upstream_states.get(name)
+            if upstream_state is not None:
+                self.crash_watch.note_gone(upstream_state.registration, read_boottime())
         self._remove_from_pools(name)
 
     def _remove_from_pools(self, name):
@@ -226,7 +226,7 @@
     def choose(self, relay, now):
         """Return this instance's best (upstream, estimate), or None without one."""
         origin = self.placing.read_origin()
-        exhausted = self.upstream_limits.list_exhausted(relay.pool.stations, now)
+        exhausted = self.upstream_limits.list_exhausted(relay.pool.upstream_states, now)
         if origin is not None and origin.placer:
             self.upstream_limits.seek(exhausted, now)
         excluded = exhausted | self.list_excluded(relay, now)
@@ -241,18 +241,18 @@
         self.crashes.check(relay.fingerprint, now)
         if choice is None:
             raise self._make_unavailable_error(relay.pool)
-        station, estimate = choice
-        if relay.station is None:
+        upstream_state, estimate = choice
+        if relay.upstream_state is None:
             self._check_capacity(relay, estimate, now)
         if estimate.charged:
             return
-        if not self.upstream_limits.charge(station.registration.name, now):
+        if not self.upstream_limits.charge(upstream_state.registration.name, now):
             raise self._make_unavailable_error(relay.pool)
 
     def _make_unavailable_error(self, pool):
         """Return the error for a request that no upstream of the pool can accept."""
         scope = Scope("pool", pool.traits.name)
-        wait = self.upstream_limits.measure_wait(pool.stations)
+        wait = self.upstream_limits.measure_wait(pool.upstream_states)
         if wait is None:
             return NoUpstream(scope=scope, retry_after=RETRY_AFTER)
         return PoolLimited(scope=scope, retry_after=wait)
@@ -262,12 +262,15 @@
         draw = None if relay.attempts else relay.rollout_draw
         pool = relay.pool
         name = pool.traits.name
-        excluded = self.rollouts.list_excluded(name, pool.stations, draw, now)
+        excluded = self.rollouts.list_excluded(name, pool.upstream_states, draw, now)
         return excluded | relay.tried_upstreams if excluded else relay.tried_upstreams
 
     def record_answer(self, relay, failed):
         """Record the first byte or failure of an answer for the version's roll-out."""
-        pool, version = relay.pool.traits.name, relay.station.registration.version
+        pool, version = (
+            relay.pool.traits.name,
+            relay.upstream_state.registration.version,
+        )
         if not self.rollouts.is_watched(pool):
             return
         elapsed = read_boottime() - relay.sent_at
@@ -293,7 +296,7 @@
 
     def _send(self, relay, choice, now):
         """Send a request, the first time or again; raise if the first is refused."""
-        if relay.station is not None:
+        if relay.upstream_state is not None:
             self._attempts.resend(relay, choice)
             return
         try:
--- a/src/chervilwing/instance_orders.py
+++ b/src/chervilwing/instance_orders.py
@@ -55,7 +55,7 @@
     def _order_next(self, now):
         for name, sizing in self._sizings.items():
             pool = self._gateway.pools[name]
-            members = [item.registration for item in pool.stations.values()]
+            members = [item.registration for item in pool.upstream_states.values()]
             due = sizing.list_due(pool.traits.fleet, members, now)
             if due:
                 self._order(name, sizing, *due[0])
--- a/src/chervilwing/instance_reports.py
+++ b/src/chervilwing/instance_reports.py
@@ -11,7 +11,7 @@
 from .crash_records import CrashNews
 from .fingerprints import REPEAT_SIZE
 from .prompt_caches import TOLD_FOR, Placement
-from .upstream_states import NOTHING, InFlight, add_loads
+from .upstream_states import NO_LOAD, UpstreamLoad, add_loads
 
 # Seconds between two sums of all loads: a leader receives dozens of queries a second,
 # and need not add up the same reports for each of them.
@@ -34,7 +34,7 @@
     """
 
     instances: int
-    in_flight: dict[str, dict[str, InFlight]]
+    in_flight: dict[str, dict[str, UpstreamLoad]]
     work: dict[str, float]
     answers: dict[str, float] = NO_TOTALS
 
@@ -116,7 +116,7 @@
 def read_counts(instances, in_flight, work, answers):
     """Return the Counts decoded from a datagram."""
     read = {
-        placer: {name: InFlight(*load) for name, load in loads.items()}
+        placer: {name: UpstreamLoad(*load) for name, load in loads.items()}
         for placer, loads in in_flight.items()
     }
     return Counts(instances, read, work, answers)
@@ -140,7 +140,7 @@
     total = {}
     for loads in several:
         for name, load in loads.items():
-            total[name] = add_loads(total.get(name, NOTHING), load)
+            total[name] = add_loads(total.get(name, NO_LOAD), load)
     return total
 
 
@@ -172,9 +172,9 @@
     """Return loads by upstream less an instance's own, none below zero."""
     left = {}
     for name, load in loads.items():
-        mine = own.get(name, NOTHING)
-        rest = InFlight(*(max(0, a - b) for a, b in zip(load, mine, strict=True)))
-        if rest != NOTHING:
+        mine = own.get(name, NO_LOAD)
+        rest = UpstreamLoad(*(max(0, a - b) for a, b in zip(load, mine, strict=True)))
+        if rest != NO_LOAD:
             left[name] = rest
     return left
 
--- a/src/chervilwing/placement_exchange.py
+++ b/src/chervilwing/placement_exchange.py
@@ -25,7 +25,7 @@
     read_demand,
 )
 from .relays import Relay
-from .upstream_states import Station
+from .upstream_states import UpstreamState
 from .usage import name_process
 
 # Kinds of datagrams; see the head of this module.
@@ -48,7 +48,7 @@
     """Where another instance's request was placed, and when its deadline passes."""
 
     pool: PoolBalance
-    station: Station
+    upstream_state: UpstreamState
     deadline: float
 
 
@@ -158,18 +158,20 @@
         demand = read_demand(ask, now)
         origin = self._read_origin()._replace(centre=ask.centre)
         limits = self._gateway.upstream_limits
-        exhausted = limits.list_exhausted(pool.stations, now)
+        exhausted = limits.list_exhausted(pool.upstream_states, now)
         limits.seek(exhausted, now)
         excluded = exhausted.union(ask.excluded)
         found = pool.choose(demand, excluded, now, origin)
         answer = Answer(ask.number, self._cfg.name, self._key)
         if found is not None:
-            station, estimate = found
-            name = station.registration.name
+            upstream_state, estimate = found
+            name = upstream_state.registration.name
             charged = limits.is_limited(name) and limits.charge(name, now)
             pool.place(key, demand, found, now)
-            self._placed[key] = PlacedRequest(pool, station, demand.deadline)
-            answer = fill_answer(answer, station, estimate._replace(charged=charged))
+            self._placed[key] = PlacedRequest(pool, upstream_state, demand.deadline)
+            answer = fill_answer(
+                answer, upstream_state, estimate._replace(charged=charged)
+            )
         self._datagrams.send(ANSWER, answer, address)
 
     def _receive_answer(self, address, *fields):
@@ -199,17 +201,17 @@
         This instance may know of a change to the upstream that the placer had not yet
         received when it chose.
         """
-        station = relay.pool.stations.get(answer.upstream)
-        if station is None or station.registration.leaving:
+        upstream_state = relay.pool.upstream_states.get(answer.upstream)
+        if upstream_state is None or upstream_state.registration.leaving:
             return None
         if answer.upstream in self._gateway.list_excluded(relay, now):
             return None
         limits = self._gateway.upstream_limits
-        stations = {answer.upstream: station}
-        if not answer.charged and limits.list_exhausted(stations, now):
+        upstream_states = {answer.upstream: upstream_state}
+        if not answer.charged and limits.list_exhausted(upstream_states, now):
             return None
-        source = relay.pool.stations.get(answer.source)
-        return station, Estimate(
+        source = relay.pool.upstream_states.get(answer.source)
+        return upstream_state, Estimate(
             answer.seconds,
             answer.prefill,
             source,
@@ -252,12 +254,12 @@
             key = (address, number)
             placed = self._placed.get(key)
             if placed is not None:
-                placed.pool.start_placed(placed.station, key, now - age)
+                placed.pool.start_placed(placed.upstream_state, key, now - age)
         for number, failed in ended:
             key = (address, number)
             placed = self._placed.pop(key, None)
             if placed is not None:
-                placed.pool.end_placed(placed.station, key, failed, now)
+                placed.pool.end_placed(placed.upstream_state, key, failed, now)
 
     def _expire(self, now):
         for pool in self._gateway.pools.values():
@@ -269,11 +271,11 @@
             del self._placed[key]
 
 
-def fill_answer(answer, station, estimate):
+def fill_answer(answer, upstream_state, estimate):
     """Return the answer, filled in with the chosen upstream and its Estimate."""
     source = estimate.source
     return answer._replace(
-        upstream=station.registration.name,
+        upstream=upstream_state.registration.name,
         seconds=estimate.seconds,
         prefill=estimate.prefill,
         source=source.registration.name if source else "",
--- a/src/chervilwing/relays.py
+++ b/src/chervilwing/relays.py
@@ -78,7 +78,7 @@
         "received_at",
         "route",
         "sent_at",
-        "station",
+        "upstream_state",
         "first_byte_at",
         "ticket",
         "tried_upstreams",
@@ -100,7 +100,7 @@
         self.tried_upstreams = set()
         self.attempts = 0
         self.call = None
-        self.station = None
+        self.upstream_state = None
         # Identifies this request to the instance that chose its upstream; None if this
         # instance did.
         self.ticket = None
@@ -154,7 +154,7 @@
         request=relay.demand.request_id,
         customer=relay.name,
         route=relay.route.name,
-        upstream=relay.station.registration.name if relay.station else "",
+        upstream=relay.upstream_state.registration.name if relay.upstream_state else "",
         tries=relay.attempts,
         outcome=outcome,
         cause=cause,
--- a/src/chervilwing/report_exchange.py
+++ b/src/chervilwing/report_exchange.py
@@ -231,8 +231,8 @@
         pools = self._gateway.pools
         in_flight = {}
         for pool in pools.values():
-            for name, station in pool.stations.items():
-                for placer, load in station.ledger.sum_by_placer().items():
+            for name, upstream_state in pool.upstream_states.items():
+                for placer, load in upstream_state.own_requests.sum_by_placer().items():
                     in_flight.setdefault(placer, {})[name] = load
         work = {name: pool.work for name, pool in pools.items() if pool.work}
         answers = dict(self._gateway.rollouts.answers)
--- a/src/chervilwing/rollouts.py
+++ b/src/chervilwing/rollouts.py
@@ -258,7 +258,7 @@
             decision = None
         self.open[pool] = rollout._replace(decision=decision, decided_at=decided_at)
 
-    def list_excluded(self, pool, stations, drawn, now):
+    def list_excluded(self, pool, upstream_states, drawn, now):
         """Return the names of the upstreams that a request must not be sent to.
 
         ``drawn`` is a random number from 0 to 1 for the request, or None for a retry,
@@ -268,9 +268,11 @@
         if rollout is None and len(seen) < 2:
             return frozenset()
         allowed = self._make_version_filter(rollout, seen, drawn, now)
-        names = {n for n, s in stations.items() if not allowed(s.registration.version)}
+        names = {
+            n for n, s in upstream_states.items() if not allowed(s.registration.version)
+        }
         refused = rollout is not None and self._get_state(rollout) == ROLLED_BACK
-        if len(names) == len(stations) and not refused:
+        if len(names) == len(upstream_states) and not refused:
             return frozenset()
         return frozenset(names)
 
--- a/src/chervilwing/upstream_limits.py
+++ b/src/chervilwing/upstream_limits.py
@@ -114,11 +114,11 @@
         """Return whether an upstream has a limit."""
         return upstream in self._accounts
 
-    def list_exhausted(self, stations, now):
+    def list_exhausted(self, upstream_states, now):
         """Return the names of the upstreams whose limit allows no further request."""
         if not self._accounts:
             return NO_UPSTREAMS
-        limited = stations.keys() & self._accounts.keys()
+        limited = upstream_states.keys() & self._accounts.keys()
         return {name for name in limited if not self._covers(name, now)}
 
     def seek(self, upstreams, now):
@@ -141,12 +141,12 @@
         account = self._accounts.get(upstream)
         return account is None or self._allowances.charge(account, REQUEST_COST, now)
 
-    def measure_wait(self, stations):
+    def measure_wait(self, upstream_states):
         """Return the seconds until one of the upstreams has credit for a request.
 
         Return None if none of them has a limit.
         """
-        limited = stations.keys() & self._accounts.keys()
+        limited = upstream_states.keys() & self._accounts.keys()
         if not limited:
             return None
         rate = sum(self._accounts[upstream].rate for upstream in limited)
--- a/src/chervilwing/upstream_states.py
+++ b/src/chervilwing/upstream_states.py
@@ -15,7 +15,7 @@
 READ_REPORT_TIMEOUT = 1.0
 
 
-class InFlight(NamedTuple):
+class UpstreamLoad(NamedTuple):
     """Load in flight at one upstream.
 
     ``prefill`` is the number of prompt tokens not yet read, ``tokens`` the number of
@@ -27,12 +27,12 @@
     tokens: int = 0
 
 
-NOTHING = InFlight()
+NO_LOAD = UpstreamLoad()
 
 
 def add_loads(one, other):
     """Return the sum of two loads."""
-    return InFlight(
+    return UpstreamLoad(
         one.requests + other.requests,
         one.prefill + other.prefill,
         one.tokens + other.tokens,
@@ -62,7 +62,7 @@
     assumed_ended_at: float = float("inf")
 
 
-class Ledger:
+class InFlightRequests:
     """Requests in flight at one upstream, by key.
 
     ``load`` is their sum, updated with each change: every choice of an upstream reads
@@ -71,7 +71,7 @@
 
     def __init__(self):
         self.sent = {}
-        self.load = NOTHING
+        self.load = NO_LOAD
 
     def add(self, key, sent):
         """Add a request that is sent to the upstream."""
@@ -101,8 +101,8 @@
         """Return the load by the process that chose the upstream for it."""
         total = {}
         for sent in self.sent.values():
-            load = InFlight(1, 0 if sent.started else sent.prefill, sent.tokens)
-            total[sent.placer] = add_loads(total.get(sent.placer, NOTHING), load)
+            load = UpstreamLoad(1, 0 if sent.started else sent.prefill, sent.tokens)
+            total[sent.placer] = add_loads(total.get(sent.placer, NO_LOAD), load)
         return total
 
     def expire(self, now):
@@ -118,34 +118,35 @@
                 self.start(key)
 
     def _add_to_load(self, requests, prefill, tokens):
-        self.load = add_loads(self.load, InFlight(requests, prefill, tokens))
+        self.load = add_loads(self.load, UpstreamLoad(requests, prefill, tokens))
 
 
-class Station:
+class UpstreamState:
     """State of one upstream at one instance.
 
-    ``ledger`` holds the requests that this instance has in flight at the upstream,
-    ``placed`` those of other instances for which this instance chose the upstream.
+    ``own_requests`` holds the requests that this instance has in flight at the
+    upstream, ``placed_requests`` those of other instances for which this instance chose
+    the upstream.
     """
 
     def __init__(self, registration):
         self.registration = registration
-        self.ledger = Ledger()
-        self.placed = Ledger()
+        self.own_requests = InFlightRequests()
+        self.placed_requests = InFlightRequests()
         # Load of all other instances at this upstream, the part of it that this
         # instance didn't place, and the time until which both count.
-        self._peer_load = NOTHING
-        self._peer_unplaced = NOTHING
+        self._peer_load = NO_LOAD
+        self._peer_unplaced = NO_LOAD
         self._peer_until = float("-inf")
         self._failure_rate = 0.0
         self._failure_at = 0.0
 
     @property
-    def own(self):
+    def own_load(self):
         """Return the load that this instance has in flight at the upstream."""
-        return self.ledger.load
+        return self.own_requests.load
 
-    def set_peer_load(self, peer_load, until, unplaced=NOTHING):
+    def set_peer_load(self, peer_load, until, unplaced=NO_LOAD):
         """Set the load that all other instances have in flight at the upstream.
 
         ``unplaced`` is the part of it that this instance did not place. Both count
@@ -163,7 +164,11 @@
         An instance that is ``placing`` for all uses its own record of what it placed
         instead of the reports.
         """
-        load = add_loads(self.own, self.placed.load) if placing else self.own
+        load = (
+            add_loads(self.own_load, self.placed_requests.load)
+            if placing
+            else self.own_load
+        )
         if now >= self._peer_until:
             return load
         return add_loads(load, self._peer_unplaced if placing else self._peer_load)
--- a/tests/outdated_loads.py
+++ b/tests/outdated_loads.py
@@ -16,7 +16,7 @@
 from chervilwing.models import Address
 from chervilwing.registrations import Registration
 from chervilwing.routing import EngineTraits, PoolTraits
-from chervilwing.upstream_states import InFlight
+from chervilwing.upstream_states import UpstreamLoad
 
 TRAITS = PoolTraits("engines", engine=EngineTraits(64, 372_000))
 # Prompt tokens per second that an engine reads while it also generates.
@@ -142,11 +142,14 @@
     def _report_loads(self, now):
         """Give each gateway the loads that the others had some time ago."""
         loads = [
-            {name: station.own for name, station in pool.stations.items()}
+            {
+                name: upstream_state.own_load
+                for name, upstream_state in pool.upstream_states.items()
+            }
             for pool in self.pools
         ]
         sums = {
-            name: InFlight(
+            name: UpstreamLoad(
                 *(sum(c) for c in zip(*(load[name] for load in loads), strict=True))
             )
             for name in self.engines
@@ -165,7 +168,7 @@
             _, loads, sums, placed = old_enough[-1]
             pool.learn(placed)
             peer_loads = {
-                name: InFlight(*(a - b for a, b in zip(total, own, strict=True)))
+                name: UpstreamLoad(*(a - b for a, b in zip(total, own, strict=True)))
                 for name, total in sums.items()
                 for own in (loads[number][name],)
             }
@@ -194,48 +197,52 @@
         pool = self.rng.choice(self.pools)
         waited = 0.0
         if self._placer is None or self._is_lost():
-            station, estimate = pool.choose(demand, (), now)
+            upstream_state, estimate = pool.choose(demand, (), now)
         else:
-            station, estimate = self._ask(pool, demand, now)
+            upstream_state, estimate = self._ask(pool, demand, now)
             waited = ASK_TIME
         if pool.is_crowded(estimate, SHORTEST_TARGET):
             self.waits[kind.name].append(REFUSED)
-            self._receive_ended(now, station, demand)
+            self._receive_ended(now, upstream_state, demand)
             return
-        pool.send(station, demand, estimate, now)
-        at = self.engines[station.registration.name].read(demand, now) + 0.015
+        pool.send(upstream_state, demand, estimate, now)
+        at = self.engines[upstream_state.registration.name].read(demand, now) + 0.015
         self.waits[kind.name].append(at + waited - now)
-        self._push(at, self._start, pool, station, demand)
+        self._push(at, self._start, pool, upstream_state, demand)
 
     def _is_lost(self):
         return self.rng.random() < self._lost
 
     def _ask(self, pool, demand, now):
-        """Return the placer's choice: the asking gateway's own Station and Estimate."""
+        """Return the placer's choice: the asker's own UpstreamState and Estimate."""
         origin = Origin("a", PLACER)
         chosen, estimate = self._placer.choose(demand, (), now, origin)
         self._placer.place(demand.request_id, demand, (chosen, estimate), now)
         name = chosen.registration.name
-        source = estimate.source and pool.stations[estimate.source.registration.name]
-        return pool.stations[name], estimate._replace(source=source)
+        source = (
+            estimate.source and pool.upstream_states[estimate.source.registration.name]
+        )
+        return pool.upstream_states[name], estimate._replace(source=source)
 
-    def _start(self, now, pool, station, demand):
-        pool.start(station, demand, now)
+    def _start(self, now, pool, upstream_state, demand):
+        pool.start(upstream_state, demand, now)
         if self._placer is not None and not self._is_lost():
-            self._push(now + REPORT_TIME, self._receive_started, station, demand, now)
+            self._push(
+                now + REPORT_TIME, self._receive_started, upstream_state, demand, now
+            )
         ended = now + demand.output_tokens * TOKEN_SECONDS
-        self._push(ended, self._end, pool, station, demand)
+        self._push(ended, self._end, pool, upstream_state, demand)
 
-    def _end(self, now, pool, station, demand):
-        pool.end(station, demand, False, now)
+    def _end(self, now, pool, upstream_state, demand):
+        pool.end(upstream_state, demand, False, now)
         if self._placer is not None and not self._is_lost():
-            self._push(now + REPORT_TIME, self._receive_ended, station, demand)
+            self._push(now + REPORT_TIME, self._receive_ended, upstream_state, demand)
 
-    def _receive_started(self, now, station, demand, at):
-        placer_station = self._placer.stations[station.registration.name]
-        self._placer.start_placed(placer_station, demand.request_id, at)
+    def _receive_started(self, now, upstream_state, demand, at):
+        placer_state = self._placer.upstream_states[upstream_state.registration.name]
+        self._placer.start_placed(placer_state, demand.request_id, at)
 
-    def _receive_ended(self, now, station, demand):
-        placer_station = self._placer.stations[station.registration.name]
-        self._placer.end_placed(placer_station, demand.request_id, None, now)
+    def _receive_ended(self, now, upstream_state, demand):
+        placer_state = self._placer.upstream_states[upstream_state.registration.name]
+        self._placer.end_placed(placer_state, demand.request_id, None, now)
         self._placer.expire_placed(now)
--- a/tests/placing_fleet.py
+++ b/tests/placing_fleet.py
@@ -93,19 +93,19 @@
 
     def place(self, relay, found, now):
         """Record a request as sent, and schedule its first byte and its end."""
-        station, estimate = found
-        self.sent.append((relay.demand.request_id, station))
-        relay.pool.send(station, relay.demand, estimate, now)
-        self.fleet.call_later(READ_TIME, self._start, relay, station)
-        self.fleet.call_later(RUN_TIME, self._end, relay, station)
-
-    def _start(self, relay, station):
-        if relay.pool.start(station, relay.demand, self.fleet.now):
+        upstream_state, estimate = found
+        self.sent.append((relay.demand.request_id, upstream_state))
+        relay.pool.send(upstream_state, relay.demand, estimate, now)
+        self.fleet.call_later(READ_TIME, self._start, relay, upstream_state)
+        self.fleet.call_later(RUN_TIME, self._end, relay, upstream_state)
+
+    def _start(self, relay, upstream_state):
+        if relay.pool.start(upstream_state, relay.demand, self.fleet.now):
             self.placing._queue_started(relay)
 
-    def _end(self, relay, station):
+    def _end(self, relay, upstream_state):
         relay.over = True
-        relay.pool.end(station, relay.demand, False, self.fleet.now)
+        relay.pool.end(upstream_state, relay.demand, False, self.fleet.now)
         self.placing._queue_placed_ended(relay, False)
 
 
@@ -200,7 +200,7 @@
     def restart(self, name):
         """Restart an instance without its state, under a new incarnation."""
         sent = self.instances[name].sent
-        engines = len(self.instances[name].pools["engines"].stations)
+        engines = len(self.instances[name].pools["engines"].upstream_states)
         self.instances[name] = Instance(self, name, engines)
         self.instances[name].sent = sent
         self.lost_instances.add(name)
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -10,7 +10,7 @@
 from chervilwing.models import Address
 from chervilwing.registrations import Registration
 from chervilwing.routing import EngineTraits, PoolTraits
-from chervilwing.upstream_states import InFlight
+from chervilwing.upstream_states import UpstreamLoad
 
 ENGINES = PoolTraits("engines", engine=EngineTraits(64, 400_000))
 PAGES = PoolTraits("pages")
@@ -35,9 +35,9 @@
 class PoolCase(unittest.TestCase):
     def send(self, pool, demand, now=0.0):
         """Send a request to the upstream that the pool chooses; return its name."""
-        station, estimate = pool.choose(demand, (), now)
-        pool.send(station, demand, estimate, now)
-        return station.registration.name
+        upstream_state, estimate = pool.choose(demand, (), now)
+        pool.send(upstream_state, demand, estimate, now)
+        return upstream_state.registration.name
 
 
 class TestStart(PoolCase):
@@ -50,9 +50,11 @@
             self.send(pool, demand)
             self.assertLessEqual(ring.call_count, 1)
             # The ring is rebuilt when an upstream is removed.
-            owner = pool._find_ring_owner(demand, list(pool.stations.values()))[0]
+            owner = pool._find_ring_owner(demand, list(pool.upstream_states.values()))[
+                0
+            ]
             pool.remove(owner)
-            left = pool._find_ring_owner(demand, list(pool.stations.values()))[0]
+            left = pool._find_ring_owner(demand, list(pool.upstream_states.values()))[0]
             self.assertNotEqual(owner, left)
             self.assertEqual(ring.call_count, 2)
 
@@ -62,7 +64,10 @@
         pool = make_pool(ENGINES)
         for number in range(25):
             self.send(pool, make_demand(f"r{number}", (f"own{number}", 4000)))
-        loads = [station.count(0.0).requests for station in pool.stations.values()]
+        loads = [
+            upstream_state.count(0.0).requests
+            for upstream_state in pool.upstream_states.values()
+        ]
         self.assertLessEqual(max(loads) - min(loads), 1)
 
     def test_requests_of_one_subject_go_to_the_engine_that_cached_it(self):
@@ -74,8 +79,8 @@
                 f"r{number}", ("shared", 2500), ("subject", 3800), (f"o{number}", 2900)
             )
             name = self.send(pool, demand, now=number)
-            pool.start(pool.stations[name], demand, number + 0.1)
-            pool.end(pool.stations[name], demand, False, number + 0.5)
+            pool.start(pool.upstream_states[name], demand, number + 0.1)
+            pool.end(pool.upstream_states[name], demand, False, number + 0.5)
             names.add(name)
         self.assertEqual(len(names), 1)
 
@@ -93,23 +98,23 @@
                 f"r{number}", ("shared", 2500), ("hot", 3800), (f"o{number}", 9000)
             )
             self.send(pool, demand)
-        busy = [s for s in pool.stations.values() if s.count(0.0).requests]
+        busy = [s for s in pool.upstream_states.values() if s.count(0.0).requests]
         self.assertGreaterEqual(len(busy), 4)
 
     def test_the_load_of_other_instances_counts(self):
         # An engine that only other instances use looks idle here; without their load,
         # every instance would send its next request there.
         pool = make_pool(ENGINES, count=2)
-        pool.stations["u0"].set_peer_load(InFlight(6, 60_000, 60_000), 1.0)
+        pool.upstream_states["u0"].set_peer_load(UpstreamLoad(6, 60_000, 60_000), 1.0)
         names = {
             self.send(pool, make_demand(f"r{n}", (f"o{n}", 500))) for n in range(4)
         }
         self.assertEqual(names, {"u1"})
-        self.assertEqual(pool.stations["u0"].count(2.0).prefill, 0)
+        self.assertEqual(pool.upstream_states["u0"].count(2.0).prefill, 0)
 
     def test_an_engine_with_full_memory_is_avoided(self):
         pool = make_pool(ENGINES, count=2)
-        pool.stations["u0"].set_peer_load(InFlight(9, 0, 399_000), 1.0)
+        pool.upstream_states["u0"].set_peer_load(UpstreamLoad(9, 0, 399_000), 1.0)
         self.assertEqual(self.send(pool, make_demand("r", ("o", 3000))), "u1")
 
     def test_the_prefill_rate_is_learned_from_answers(self):
@@ -117,8 +122,8 @@
         for number in range(60):
             demand = make_demand(f"r{number}", (f"o{number}", 8000))
             name = self.send(pool, demand, now=float(number))
-            pool.start(pool.stations[name], demand, number + 0.8)
-            pool.end(pool.stations[name], demand, False, number + 0.9)
+            pool.start(pool.upstream_states[name], demand, number + 0.8)
+            pool.end(pool.upstream_states[name], demand, False, number + 0.9)
         self.assertAlmostEqual(pool.rate, 10_000, delta=2_000)
 
 
@@ -132,26 +137,28 @@
             demand = make_demand(f"r{number}", (f"o{number}", 8000))
             late = number >= 20
             if late:
-                for station in pool.stations.values():
-                    station.set_peer_load(InFlight(40, 60_000, 200_000), number + 1.0)
-            station, estimate = pool.choose(demand, (), float(number))
+                for upstream_state in pool.upstream_states.values():
+                    upstream_state.set_peer_load(
+                        UpstreamLoad(40, 60_000, 200_000), number + 1.0
+                    )
+            upstream_state, estimate = pool.choose(demand, (), float(number))
             before = pool.work
             pool.ask(demand, estimate)
             works.append(pool.work - before)
-            pool.send(station, demand, estimate, float(number))
-            pool.start(station, demand, number + (0.9 if late else 0.25))
-            pool.end(station, demand, False, number + 0.95)
+            pool.send(upstream_state, demand, estimate, float(number))
+            pool.start(upstream_state, demand, number + (0.9 if late else 0.25))
+            pool.end(upstream_state, demand, False, number + 0.95)
         self.assertAlmostEqual(works[-1], works[19], delta=works[19] * 0.1)
 
     def test_the_work_of_a_request_counts_once_over_all_attempts(self):
         pool = make_pool(ENGINES)
         demand = make_demand("r", ("o", 8000))
-        station, estimate = pool.choose(demand, (), 0.0)
+        upstream_state, estimate = pool.choose(demand, (), 0.0)
         pool.ask(demand, estimate)
         before = pool.work
         for _ in range(3):
-            pool.send(station, demand, estimate, 0.0)
-            pool.end(station, demand, True, 0.1)
+            pool.send(upstream_state, demand, estimate, 0.0)
+            pool.end(upstream_state, demand, True, 0.1)
         self.assertEqual(pool.work, before)
 
 
@@ -166,22 +173,22 @@
             name = self.send(pool, demand, now)
             sent.append(name)
             failed = name == "u0" and rng.random() < 0.5
-            pool.end(pool.stations[name], demand, failed, now + 0.04)
+            pool.end(pool.upstream_states[name], demand, failed, now + 0.04)
         self.assertLess(sent.count("u0") / len(sent), 0.12)
 
     def test_a_recovered_upstream_is_used_again(self):
         pool = make_pool(PAGES, count=2)
         for _ in range(6):
-            pool.stations["u0"].record(True, 0.0)
+            pool.upstream_states["u0"].record(True, 0.0)
         later = [self.send(pool, Demand(f"r{n}", 99.0), 60.0) for n in range(8)]
         self.assertIn("u0", later)
 
     def test_all_upstreams_are_used_when_all_fail(self):
         # If all upstreams fail alike, the failures tell nothing about any single one.
         pool = make_pool(PAGES, count=3)
-        for station in pool.stations.values():
+        for upstream_state in pool.upstream_states.values():
             for _ in range(6):
-                station.record(True, 0.0)
+                upstream_state.record(True, 0.0)
         names = {self.send(pool, Demand(f"r{n}", 9.0), 0.1) for n in range(9)}
         self.assertEqual(len(names), 3)
 
@@ -189,8 +196,8 @@
 class TestLeaving(PoolCase):
     def test_a_leaving_upstream_gets_no_requests(self):
         pool = make_pool(PAGES, count=2)
-        station = pool.stations["u0"]
-        station.registration = station.registration._replace(leaving=True)
+        upstream_state = pool.upstream_states["u0"]
+        upstream_state.registration = upstream_state.registration._replace(leaving=True)
         names = {self.send(pool, Demand(f"r{n}", 9.0)) for n in range(6)}
         self.assertEqual(names, {"u1"})
         self.assertIsNone(pool.choose(Demand("x", 9.0), {"u1"}, 0.0))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -445,9 +445,9 @@
         self.assertEqual(run.call("GET", "/page/x").status, 200)
         port = run.upstreams[0].port
         pool = run.gateway.pools["web"]
-        old_state = pool.stations["u0"]
+        old_state = pool.upstream_states["u0"]
         run.gateway.put_upstream(run.register("u0", port, started_at=9.0))
-        self.assertIsNot(pool.stations["u0"], old_state)
+        self.assertIsNot(pool.upstream_states["u0"], old_state)
         self.assertEqual(run.call("POST", "/note/x").status, 200)
         self.assertEqual(len(run.upstreams[0].conns), 2)
 
--- a/tests/test_instance_reports.py
+++ b/tests/test_instance_reports.py
@@ -4,12 +4,12 @@
 
 from chervilwing.crash_records import CrashNews
 from chervilwing.instance_reports import Counts, ReportSums, read_crash_news
-from chervilwing.upstream_states import InFlight
+from chervilwing.upstream_states import UpstreamLoad
 
 
 def make_counts(work, requests=0):
     """Return the figures of one instance."""
-    return Counts(1, {"": {"u": InFlight(requests, 0, 0)}}, {"engines": work})
+    return Counts(1, {"": {"u": UpstreamLoad(requests, 0, 0)}}, {"engines": work})
 
 
 def measure_work(sums, now):
--- a/tests/test_placing_model.py
+++ b/tests/test_placing_model.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from chervilwing.placer_selection import MAX_TIMEOUTS
-from chervilwing.upstream_states import NOTHING
+from chervilwing.upstream_states import NO_LOAD
 from tests.placing_fleet import DEADLINE, Fleet
 
 SIZES = (8, 67, 320)
@@ -81,10 +81,12 @@
         def check(fleet):
             for instance in fleet.list_living():
                 loads = {
-                    station.placed.load
-                    for station in instance.pools["engines"].stations.values()
+                    upstream_state.placed_requests.load
+                    for upstream_state in instance.pools[
+                        "engines"
+                    ].upstream_states.values()
                 }
-                self.assertEqual(loads, {NOTHING})
+                self.assertEqual(loads, {NO_LOAD})
                 self.assertEqual(instance.placing._placed, {})
 
         self.check_all(check)
@@ -98,7 +100,7 @@
             placer = find_placer(fleet)
             for name, instance in fleet.instances.items():
                 later = [s for _, s in instance.sent[fleet.left_at[name] :]]
-                names = {station.registration.name for station in later}
+                names = {upstream_state.registration.name for upstream_state in later}
                 with self.subTest(size=size, name=name):
                     self.assertTrue(name == placer or "u0" not in names)
 
--- a/tests/test_prompt_caches.py
+++ b/tests/test_prompt_caches.py
@@ -41,9 +41,9 @@
 
 def send(pool, demand, now=0.0):
     """Send a request to the chosen upstream; return its name and the Estimate."""
-    station, estimate = pool.choose(demand, (), now)
-    pool.send(station, demand, estimate, now)
-    return station.registration.name, estimate
+    upstream_state, estimate = pool.choose(demand, (), now)
+    pool.send(upstream_state, demand, estimate, now)
+    return upstream_state.registration.name, estimate
 
 
 class TestPromptCaches(unittest.TestCase):
@@ -135,10 +135,13 @@
         pool = make_pool()
         demand = make_demand("r0")
         owner = pool.choose(demand, (), 0.0)[0].registration.name
-        holder = next(name for name in pool.stations if name != owner)
+        holder = next(name for name in pool.upstream_states if name != owner)
         pool.learn([Placement(holder, "history", 5500)])
         estimate = pool.estimate(
-            pool.stations[owner], demand, 0.0, pool._find_cached_prefixes(demand, [])
+            pool.upstream_states[owner],
+            demand,
+            0.0,
+            pool._find_cached_prefixes(demand, []),
         )
         self.assertEqual(estimate.source.registration.name, holder)
         self.assertEqual(estimate.prefill, 1000)
@@ -148,14 +151,18 @@
         parts = (PromptPart("all", 500), PromptPart("own", 1000))
         demand = Demand("r0", 10.0, 1500, 50, 50, parts)
         send(pool, demand)
-        for station in pool.stations.values():
-            prefixes = pool._find_cached_prefixes(demand, list(pool.stations.values()))
-            self.assertIsNone(pool.estimate(station, demand, 0.0, prefixes).source)
+        for upstream_state in pool.upstream_states.values():
+            prefixes = pool._find_cached_prefixes(
+                demand, list(pool.upstream_states.values())
+            )
+            self.assertIsNone(
+                pool.estimate(upstream_state, demand, 0.0, prefixes).source
+            )
 
     def test_a_restarted_engine_has_no_cached_parts(self):
         pool = make_pool()
         name, _ = send(pool, make_demand("r0"))
-        registration = pool.stations[name].registration
+        registration = pool.upstream_states[name].registration
         pool.remove(name)
         pool.put(registration)
         self.assertEqual(pool.caches.count_cached(name, HISTORY), 0)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -33,19 +33,19 @@
 ORDER = RolloutOrder("engines", "v2", 12.0)
 
 
-def make_stations(versions):
+def make_upstream_states(versions):
     """Return upstreams by name, one of each of these versions."""
-    stations = {}
+    upstream_states = {}
     for number, version in enumerate(versions):
         name = f"u{number}"
         registration = Registration(
             name, "engines", Address("10.0.0.1", number), "a", version=version
         )
-        stations[name] = SimpleNamespace(registration=registration)
-    return stations
+        upstream_states[name] = SimpleNamespace(registration=registration)
+    return upstream_states
 
 
-STATIONS = make_stations(["v1"] * 3 + ["v2"] * 3)
+UPSTREAM_STATES = make_upstream_states(["v1"] * 3 + ["v2"] * 3)
 OLD, NEW = {"u0", "u1", "u2"}, {"u3", "u4", "u5"}
 
 
@@ -64,7 +64,7 @@
 class TestExcludedUpstreams(unittest.TestCase):
     def expect(self, state, drawn, excluded, now=0.0):
         rollouts = make_rollouts(state)
-        found = rollouts.list_excluded("engines", STATIONS, drawn, now)
+        found = rollouts.list_excluded("engines", UPSTREAM_STATES, drawn, now)
         self.assertEqual(found, excluded)
 
     def test_each_state_excludes_the_right_versions(self):
@@ -90,7 +90,7 @@
 
     def test_a_rolled_back_version_gets_nothing_even_if_it_is_the_only_one(self):
         rollouts = make_rollouts(ROLLED_BACK)
-        alone = make_stations(["v2"])
+        alone = make_upstream_states(["v2"])
         found = rollouts.list_excluded("engines", alone, 0.01, 0.0)
         self.assertEqual(found, {"u0"})
 
@@ -100,18 +100,20 @@
         rollouts = Rollouts()
         rollouts.note_version("engines", "v1", 0.0)
         rollouts.note_version("engines", "v2", 60.0)
-        at_first = rollouts.list_excluded("engines", STATIONS, 0.5, 61.0)
-        later = rollouts.list_excluded("engines", STATIONS, 0.5, 63.0)
+        at_first = rollouts.list_excluded("engines", UPSTREAM_STATES, 0.5, 61.0)
+        later = rollouts.list_excluded("engines", UPSTREAM_STATES, 0.5, 63.0)
         self.assertEqual((at_first, later), (NEW, frozenset()))
 
     def test_without_a_roll_out_no_upstream_is_excluded(self):
         rollouts = Rollouts()
         rollouts.note_version("engines", "v1", 0.0)
-        self.assertEqual(rollouts.list_excluded("engines", STATIONS, 0.0, 0.0), set())
+        self.assertEqual(
+            rollouts.list_excluded("engines", UPSTREAM_STATES, 0.0, 0.0), set()
+        )
 
     def test_an_order_for_the_current_version_excludes_nothing(self):
         rollouts = make_rollouts()
-        same = make_stations(["v2"] * 3)
+        same = make_upstream_states(["v2"] * 3)
         for drawn in (0.01, 0.5):
             found = rollouts.list_excluded("engines", same, drawn, 0.0)
             self.assertEqual(found, set())
@@ -211,7 +213,7 @@
             rollouts = self.rng.choice(self.instances)
             rollouts.as_of = now
             excluded = rollouts.list_excluded(
-                "engines", STATIONS, self.rng.random(), now
+                "engines", UPSTREAM_STATES, self.rng.random(), now
             )
             tried = "u3" not in excluded
             bad = self.rng.random() < self.base_rate
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -15,7 +15,7 @@
 )
 
 SIGNED = {"x-server-stamp": "s"}
-STATIONS = {"u0": None, "u1": None}
+UPSTREAM_STATES = {"u0": None, "u1": None}
 
 
 def make_limits():
@@ -38,7 +38,7 @@
     def test_an_answer_to_a_later_request_ends_it(self):
         self.limits.note_answer("u0", inf, 10.2, 10.3)
         self.assertFalse(self.limits.is_limited("u0"))
-        self.assertEqual(self.limits.list_exhausted(STATIONS, 10.4), frozenset())
+        self.assertEqual(self.limits.list_exhausted(UPSTREAM_STATES, 10.4), frozenset())
 
     def test_an_answer_that_says_nothing_about_limits_does_not_end_it(self):
         self.limits.note_answer("u0", None, 10.2, 10.3)
@@ -100,7 +100,7 @@
     def test_nothing_is_saved_up_before_a_limit_is_known(self):
         limits = make_limits()
         limits.note_answer("u0", 5.0, 9.9, 10.0)
-        self.assertEqual(limits.list_exhausted(STATIONS, 10.0), {"u0"})
+        self.assertEqual(limits.list_exhausted(UPSTREAM_STATES, 10.0), {"u0"})
         self.assertFalse(limits.charge("u0", 10.0))
         self.assertTrue(limits.charge("u1", 10.0))
 
@@ -113,18 +113,18 @@
     def test_a_smaller_limit_reduces_saved_up_credit(self):
         limits = make_limits()
         limits.note_answer("u0", 100.0, 9.9, 10.0)
-        limits.list_exhausted(STATIONS, 12.0)
+        limits.list_exhausted(UPSTREAM_STATES, 12.0)
         limits.note_answer("u0", 1.0, 11.9, 12.0)
         self.assertTrue(limits.charge("u0", 12.0))
         self.assertFalse(limits.charge("u0", 12.0))
 
     def test_the_wait_is_the_time_until_the_next_request_is_allowed(self):
         limits = make_limits()
-        self.assertIsNone(limits.measure_wait(STATIONS))
+        self.assertIsNone(limits.measure_wait(UPSTREAM_STATES))
         limits.note_answer("u0", 1.0, 9.9, 10.0)
-        self.assertEqual(limits.measure_wait(STATIONS), 1.0)
+        self.assertEqual(limits.measure_wait(UPSTREAM_STATES), 1.0)
         limits.note_answer("u1", 1.0, 9.9, 10.0)
-        self.assertEqual(limits.measure_wait(STATIONS), 0.5)
+        self.assertEqual(limits.measure_wait(UPSTREAM_STATES), 0.5)
 
     def test_new_customer_limits_do_not_lift_upstream_limits(self):
         # A new configuration replaces the customers' limits only.
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -275,7 +275,7 @@
         (
             Edit(
                 "balancing",
-                "if not station.registration.leaving and name not in excluded",
+                "if not upstream_state.registration.leaving and name not in excluded",
                 "if name not in excluded",
             ),
         ),
@@ -461,8 +461,8 @@
         (
             Edit(
                 "placement_exchange",
-                "if station is None or station.registration.leaving:",
-                "if station is None:",
+                "if upstream_state is None or upstream_state.registration.leaving:",
+                "if upstream_state is None:",
             ),
         ),
         (PLACING + "a_leaving_upstream_known_to_the_asker_gets_no_requests",),
