--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -18,7 +18,7 @@
 import typer
 
 from chervilwing import gateway
-from chervilwing.balancing import Origin, PoolBalance
+from chervilwing.balancing import PlacementOrigin, PoolBalancer
 from chervilwing.demands import Demand
 from chervilwing.routing import EngineTraits, PoolTraits
 from chervilwing.sizing import Kind, Sizing
@@ -103,7 +103,7 @@
             fleet=deployment.fleet,
         )
         self.pools = [
-            PoolBalance(traits, CENTRES[n % len(CENTRES)], random.Random(seed + n))
+            PoolBalancer(traits, CENTRES[n % len(CENTRES)], random.Random(seed + n))
             for n in range(deployment.gateways)
         ]
         self.sizing = Sizing()
@@ -136,7 +136,7 @@
         else:
             self.registered[name] = registration
         for pool in self.pools:
-            pool.remove(name) if gone else pool.put(registration)
+            pool.remove(name) if gone else pool.put_upstream(registration)
 
     def _order(self):
         now = self.clock.now
@@ -160,8 +160,8 @@
         now = self.clock.now
         if before is not None:
             for pool, others in zip(self.pools, before[0], strict=True):
-                pool.hear(others, now + 9.0)
-                pool.learn(before[1])
+                pool.set_peer_loads(others, now + 9.0)
+                pool.add_reported_prompts(before[1])
         loads = [
             {
                 name: upstream_state.own_load
@@ -180,7 +180,7 @@
         now = self.clock.now
         found = self._choose(pool, caller, now)
         if found is not None:
-            pool.ask(caller.demand, found[1])
+            pool.record_work(caller.demand, found[1])
             if found[1].seconds <= (caller.ends_at - now) * gateway.HOPELESS_PART:
                 self._send(pool, caller, found)
                 return
@@ -195,11 +195,11 @@
         if not PLACED:
             return pool.choose(caller.demand, caller.tried, now)
         centre = CENTRES[self.pools.index(pool) % len(CENTRES)]
-        origin = Origin(centre, PLACER)
+        origin = PlacementOrigin(centre, PLACER)
         found = self.pools[0].choose(caller.demand, caller.tried, now, origin)
         if found is None:
             return None
-        self.pools[0].place(caller.demand.request_id, caller.demand, found, now)
+        self.pools[0].record_placed(caller.demand.request_id, caller.demand, found, now)
         upstream_state, estimate = found
         source = estimate.source
         if source is not None:
@@ -214,7 +214,7 @@
         upstream_state, estimate = found
         name = upstream_state.registration.name
         caller.tried.add(name)
-        pool.send(upstream_state, caller.demand, estimate, self.clock.now)
+        pool.record_sent(upstream_state, caller.demand, estimate, self.clock.now)
         arrival = caller.arrival
         run = Run(
             arrival.parts,
@@ -227,13 +227,17 @@
     def _hear(self, event, pool, caller, upstream_state):
         now, key = self.clock.now, caller.demand.request_id
         if event == "first":
-            pool.start(upstream_state, caller.demand, now)
-            self.pools[0].start_placed(self._find_placed(upstream_state), key, now)
+            pool.record_first_byte(upstream_state, caller.demand, now)
+            self.pools[0].record_placed_first_byte(
+                self._find_placed(upstream_state), key, now
+            )
             caller.first = caller.first or now
             return
         failed = event == "failed"
-        pool.end(upstream_state, caller.demand, failed, now)
-        self.pools[0].end_placed(self._find_placed(upstream_state), key, failed, now)
+        pool.record_end(upstream_state, caller.demand, failed, now)
+        self.pools[0].record_placed_end(
+            self._find_placed(upstream_state), key, failed, now
+        )
         if event == "done":
             self._began[caller] = caller.first
             return
--- a/src/chervilwing/attempts.py
+++ b/src/chervilwing/attempts.py
@@ -77,7 +77,7 @@
         relay.sent_at = now
         relay.answer = None
         relay.take_buffered()
-        relay.pool.send(upstream_state, relay.demand, estimate, now)
+        relay.pool.record_sent(upstream_state, relay.demand, estimate, now)
         if relay.attempts > 1:
             self._retries.note_retry(relay.pool.traits.name)
         handlers = CallHandlers(
@@ -90,7 +90,7 @@
 
     def _place_again(self, relay):
         now = read_boottime()
-        if not self._gateway.placing.ask(relay, now):
+        if not self._gateway.placing.request_placement(relay, now):
             self.resend(relay, self._gateway.choose(relay, now))
 
     def resend(self, relay, choice):
@@ -98,7 +98,7 @@
         try:
             self._gateway.check_send(relay, choice, read_boottime())
         except ChervilwingError as exc:
-            self._gateway.placing.note_ended(relay, None)
+            self._gateway.placing.report_ended(relay, None)
             self.give_up(relay, exc)
             return
         self.send(relay, choice)
@@ -184,7 +184,7 @@
             return False
         if relay.deadline - now < CONNECT_TIMEOUT / 2:
             return False
-        if not relay.pool.list_open(relay.tried_upstreams):
+        if not relay.pool.list_accepting(relay.tried_upstreams):
             return False
         # An attempt that never reached an upstream added no load to the pool.
         return not relay.attempts or self._retries.may_retry(relay.pool.traits.name)
@@ -221,8 +221,10 @@
     def _record_start(self, relay):
         if relay.first_byte_at is None:
             relay.first_byte_at = read_boottime()
-        if relay.pool.start(relay.upstream_state, relay.demand, read_boottime()):
-            self._gateway.placing.note_started(relay)
+        if relay.pool.record_first_byte(
+            relay.upstream_state, relay.demand, read_boottime()
+        ):
+            self._gateway.placing.report_started(relay)
             if relay.answer[0] < MIN_SERVER_ERROR:
                 self._gateway.record_answer(relay, failed=False)
         self._count_usage(relay)
@@ -309,8 +311,8 @@
             now = read_boottime()
             if failed:
                 self._gateway.record_answer(relay, failed=True)
-            relay.pool.end(relay.upstream_state, relay.demand, failed, now)
-            self._gateway.placing.note_ended(relay, failed)
+            relay.pool.record_end(relay.upstream_state, relay.demand, failed, now)
+            self._gateway.placing.report_ended(relay, failed)
         if cancel:
             self._client.cancel(relay.call)
         relay.call = None
--- a/src/chervilwing/balancing.py
+++ b/src/chervilwing/balancing.py
@@ -100,19 +100,19 @@
 NO_LOADS = MappingProxyType({})
 
 
-class Origin(NamedTuple):
+class PlacementOrigin(NamedTuple):
     """Where a request is sent from, and which process chooses its upstream.
 
-    ``centre`` is the data centre of the instance that will send the request.
+    ``data_centre`` is that of the instance that will send the request.
     ``placer`` is the name of this process if it chooses for all instances, and so knows
     what it has placed; it is empty if the process chooses for itself only.
     """
 
-    centre: str
+    data_centre: str
     placer: str = ""
 
 
-class PoolBalance:
+class PoolBalancer:
     """State of one pool: its upstreams' loads and their measured speed."""
 
     def __init__(self, traits, data_centre, rng):
@@ -125,14 +125,14 @@
         self.service_time = ServiceTime()
         # Engine seconds of work requested by callers, here and at each other instance.
         self.work = 0.0
-        self.peers_work = {}
-        self._own_origin = Origin(data_centre)
+        self.peer_work = {}
+        self._own_origin = PlacementOrigin(data_centre)
         self._rng = rng
         # Built on first use: hundreds of upstreams register at once, and rebuilding the
         # ring for each of them would take half a minute of CPU time.
         self._ring = None
 
-    def put(self, registration):
+    def put_upstream(self, registration):
         """Add an upstream, or update its registration."""
         existing = self.upstream_states.get(registration.name)
         if existing is not None:
@@ -141,7 +141,7 @@
         self.upstream_states[registration.name] = UpstreamState(registration)
         self._ring = None
 
-    def hear(self, peer_loads, until, unplaced=NO_LOADS):
+    def set_peer_loads(self, peer_loads, until, unplaced=NO_LOADS):
         """Update the loads reported by all other instances, by upstream name.
 
         ``unplaced`` is the part of them that this instance did not place. The loads
@@ -172,7 +172,7 @@
             for name, load in upstream_loads.items()
         }
 
-    def learn(self, placements):
+    def add_reported_prompts(self, placements):
         """Record where other instances recently sent long prompts."""
         if self.traits.engine is not None:
             reported = [
@@ -189,7 +189,7 @@
         self.caches.remove_upstream(name)
         return upstream_state.registration.address
 
-    def list_open(self, excluded=()):
+    def list_accepting(self, excluded=()):
         """Return the upstreams that accept new requests, except excluded names."""
         return [
             upstream_state
@@ -202,7 +202,7 @@
 
         Without an ``origin`` this instance chooses for itself.
         """
-        candidates = self.list_open(excluded)
+        candidates = self.list_accepting(excluded)
         if not candidates:
             return None
         origin = origin or self._own_origin
@@ -211,7 +211,7 @@
         ranked = []
         for upstream_state in candidates:
             estimate = self.estimate(upstream_state, demand, now, prefixes, placing)
-            score = self._score(upstream_state, estimate, origin.centre, now)
+            score = self._score(upstream_state, estimate, origin.data_centre, now)
             ranked.append((score, len(ranked), estimate))
         _, index, estimate = min(ranked)
         return candidates[index], estimate._replace(placer=origin.placer)
@@ -240,7 +240,7 @@
         lightly_loaded = not load.prefill and load.requests < LIGHT_LOAD_REQUESTS
         return Estimate(seconds, prefill, source, load.prefill, lightly_loaded)
 
-    def is_crowded(self, estimate, shortest):
+    def is_overloaded(self, estimate, shortest):
         """Return whether the queue is too long to meet the shortest latency target.
 
         ``shortest`` is the shortest latency target of the pool's routes, in seconds.
@@ -316,7 +316,7 @@
             self._ring = Ring(self.upstream_states)
         return self._ring.find(demand.subject, 1, names)
 
-    def ask(self, demand, estimate):
+    def record_work(self, demand, estimate):
         """Add a request's work to the total, once, whatever its outcome.
 
         The work is counted at the speed of lightly loaded engines and not per attempt.
@@ -327,13 +327,13 @@
         self.work += estimate.prefill / self.light_load_rate
         self.work += demand.expected_tokens * TOKEN_TIME
 
-    def send(self, upstream_state, demand, estimate, now):
+    def record_sent(self, upstream_state, demand, estimate, now):
         """Record that this instance sends a request to an upstream."""
         sent = make_sent(demand, estimate, now)
         upstream_state.own_requests.add(demand.request_id, sent)
         self._record_prompt(upstream_state, demand, now)
 
-    def place(self, key, demand, found, now):
+    def record_placed(self, key, demand, found, now):
         """Record that an upstream was chosen for another instance's request.
 
         ``key`` identifies the request among those of all other instances. ``found`` is
@@ -356,13 +356,13 @@
                 now,
             )
 
-    def start(self, upstream_state, demand, now):
+    def record_first_byte(self, upstream_state, demand, now):
         """Record an answer's first byte; return whether it is the first such call."""
         return self._update_speed(
             upstream_state.own_requests.start(demand.request_id), now
         )
 
-    def start_placed(self, upstream_state, key, now):
+    def record_placed_first_byte(self, upstream_state, key, now):
         """Record the first byte of an answer to another instance's request."""
         return self._update_speed(upstream_state.placed_requests.start(key), now)
 
@@ -387,7 +387,7 @@
                 self.light_load_rate = blend(self.light_load_rate, rate)
         return True
 
-    def end_placed(self, upstream_state, key, failed, now):
+    def record_placed_end(self, upstream_state, key, failed, now):
         """Record the end of another instance's attempt.
 
         ``failed`` is None if the attempt says nothing about the upstream.
@@ -401,7 +401,7 @@
         for upstream_state in self.upstream_states.values():
             upstream_state.placed_requests.expire(now)
 
-    def end(self, upstream_state, demand, failed, now):
+    def record_end(self, upstream_state, demand, failed, now):
         """Record the end of an attempt of this instance.
 
         ``failed`` is None if the attempt says nothing about the upstream.
--- a/src/chervilwing/gateway.py
+++ b/src/chervilwing/gateway.py
@@ -6,7 +6,7 @@
 
 from .allowances import Allowances
 from .attempts import RETRY_AFTER, Attempts
-from .balancing import PoolBalance
+from .balancing import PoolBalancer
 from .clocks import STARTED_AT, read_boottime
 from .crash_detection import CrashWatch
 from .crash_records import CrashRecords
@@ -22,7 +22,7 @@
     StaleKeys,
 )
 from .logs import log_event, log_request
-from .placer_selection import PlacingHooks
+from .placer_selection import PlacementHooks
 from .registrations import Registry
 from .relays import Relay, describe_refusal, describe_relay
 from .retry_shares import RetryShares
@@ -85,7 +85,7 @@
         # Called when a request has to wait for its customer's credit.
         self.on_lacking = lambda: None
         self._waiting = []
-        self.placing = PlacingHooks()
+        self.placing = PlacementHooks()
         self.rollouts = Rollouts()
         self.crashes = CrashRecords(cfg.name)
         self.upstream_limits = UpstreamLimits(self.allowances, self._report_limit)
@@ -129,7 +129,7 @@
         self.rollouts.note_version(
             registration.pool, registration.version, read_boottime()
         )
-        self._get_or_create_pool(registration.pool).put(registration)
+        self._get_or_create_pool(registration.pool).put_upstream(registration)
 
     def remove_upstream(self, name, regained_at):
         """Handle the disappearance of an upstream's registration.
@@ -172,7 +172,7 @@
     def _get_or_create_pool(self, name):
         pool = self.pools.get(name)
         if pool is None:
-            pool = PoolBalance(self.cfg.plain_pool, self.cfg.data_centre, self._rng)
+            pool = PoolBalancer(self.cfg.plain_pool, self.cfg.data_centre, self._rng)
             self.pools[name] = pool
         return pool
 
@@ -219,13 +219,13 @@
         if not self.allowances.charge(relay.organisation, relay.cost, now):
             return False
         relay.charged_at = now
-        if not self.placing.ask(relay, now):
+        if not self.placing.request_placement(relay, now):
             self._send(relay, self.choose(relay, now), now)
         return True
 
     def choose(self, relay, now):
         """Return this instance's best (upstream, estimate), or None without one."""
-        origin = self.placing.read_origin()
+        origin = self.placing.get_origin()
         exhausted = self.upstream_limits.list_exhausted(relay.pool.upstream_states, now)
         if origin is not None and origin.placer:
             self.upstream_limits.seek(exhausted, now)
@@ -302,10 +302,10 @@
         try:
             self.check_send(relay, choice, now)
         except ChervilwingError:
-            self.placing.note_ended(relay, None)
+            self.placing.report_ended(relay, None)
             self.refund(relay, now)
             raise
-        relay.pool.ask(relay.demand, choice[1])
+        relay.pool.record_work(relay.demand, choice[1])
         self.retries.note_first(relay.pool.traits.name)
         self._attempts.send(relay, choice)
 
@@ -355,8 +355,8 @@
         seconds = estimate.seconds
         hopeless = seconds > (relay.deadline - now) * HOPELESS_PART
         shortest = self.table.shortest.get(scope.name, float("inf"))
-        if hopeless or relay.pool.is_crowded(estimate, shortest):
-            relay.pool.ask(relay.demand, estimate)
+        if hopeless or relay.pool.is_overloaded(estimate, shortest):
+            relay.pool.record_work(relay.demand, estimate)
             raise PoolFull(scope=scope, retry_after=min(seconds, RETRY_AFTER * 4))
 
     def refuse(self, exchange, exc):
--- a/src/chervilwing/instance_orders.py
+++ b/src/chervilwing/instance_orders.py
@@ -49,7 +49,7 @@
 
     def _measure(self, name, pool, now):
         sizing = self._sizings.setdefault(name, Sizing())
-        totals = {**pool.peers_work, self._cfg.name: (0, pool.work)}
+        totals = {**pool.peer_work, self._cfg.name: (0, pool.work)}
         sizing.meter.measure(totals, now)
 
     def _order_next(self, now):
--- a/src/chervilwing/placement_exchange.py
+++ b/src/chervilwing/placement_exchange.py
@@ -8,7 +8,7 @@
 
 from circuits.core import BaseComponent, handler
 
-from .balancing import Estimate, Origin, PoolBalance
+from .balancing import Estimate, PlacementOrigin, PoolBalancer
 from .clocks import read_boottime
 from .leader_queries import rank
 from .logs import log_event
@@ -17,9 +17,9 @@
     Answer,
     Ask,
     AskRateLimit,
+    PlacementHooks,
+    PlacementId,
     PlacerSelector,
-    PlacingHooks,
-    Ticket,
     make_ask,
     order_placers,
     read_demand,
@@ -47,7 +47,7 @@
 class PlacedRequest(NamedTuple):
     """Where another instance's request was placed, and when its deadline passes."""
 
-    pool: PoolBalance
+    pool: PoolBalancer
     upstream_state: UpstreamState
     deadline: float
 
@@ -78,9 +78,9 @@
         self._progress = {}
         self._placed = {}
         self._next_expire = 0.0
-        gateway.placing = PlacingHooks(
+        gateway.placing = PlacementHooks(
             self._send_ask,
-            self._read_origin,
+            self._get_origin,
             self._queue_started,
             self._queue_placed_ended,
         )
@@ -132,17 +132,17 @@
         self._datagrams.send(ASK, ask, peer.address)
         return True
 
-    def _read_origin(self):
-        """Return the Origin of the choices that this instance makes."""
+    def _get_origin(self):
+        """Return the PlacementOrigin of the choices that this instance makes."""
         places = self._placer == self._cfg.name
-        return Origin(self._cfg.data_centre, self._key if places else "")
+        return PlacementOrigin(self._cfg.data_centre, self._key if places else "")
 
     def _handle_timeout(self, number, item, now):
         """Choose the upstream here after an ask has timed out."""
         del self._pending[number]
         self._selector.record_timeout(item.placer, now)
         # The ask may have arrived, and only its answer been lost.
-        self._queue_ended(Ticket(number, item.placer))
+        self._queue_ended(PlacementId(number, item.placer))
         if not item.relay.over:
             self._gateway.place_alone(item.relay, now)
 
@@ -156,7 +156,7 @@
         if pool is None or key in self._placed or not self._rate_limit.allow(now):
             return
         demand = read_demand(ask, now)
-        origin = self._read_origin()._replace(centre=ask.centre)
+        origin = self._get_origin()._replace(data_centre=ask.centre)
         limits = self._gateway.upstream_limits
         exhausted = limits.list_exhausted(pool.upstream_states, now)
         limits.seek(exhausted, now)
@@ -167,7 +167,7 @@
             upstream_state, estimate = found
             name = upstream_state.registration.name
             charged = limits.is_limited(name) and limits.charge(name, now)
-            pool.place(key, demand, found, now)
+            pool.record_placed(key, demand, found, now)
             self._placed[key] = PlacedRequest(pool, upstream_state, demand.deadline)
             answer = fill_answer(
                 answer, upstream_state, estimate._replace(charged=charged)
@@ -185,13 +185,13 @@
         if item is None:
             return
         self._selector.record_answer(answer.name)
-        relay, ticket = item.relay, Ticket(answer.number, answer.name)
+        relay, placement_id = item.relay, PlacementId(answer.number, answer.name)
         found = None if relay.over else self._read_choice(relay, answer, now)
         if found is not None:
-            relay.ticket = ticket
+            relay.placement_id = placement_id
             self._gateway.place(relay, found, now)
             return
-        self._queue_ended(ticket)
+        self._queue_ended(placement_id)
         if not relay.over:
             self._gateway.place_alone(relay, now)
 
@@ -221,20 +221,20 @@
             answer.charged,
         )
 
-    def _queue_ended(self, ticket, failed=None):
+    def _queue_ended(self, placement_id, failed=None):
         """Queue a report that a request has ended or isn't sent where it was placed."""
-        _, ended = self._progress.setdefault(ticket.name, ([], []))
-        ended.append((ticket.number, failed))
+        _, ended = self._progress.setdefault(placement_id.name, ([], []))
+        ended.append((placement_id.number, failed))
 
     def _queue_started(self, relay):
-        if relay.ticket is not None:
-            started, _ = self._progress.setdefault(relay.ticket.name, ([], []))
-            started.append((relay.ticket.number, read_boottime()))
+        if relay.placement_id is not None:
+            started, _ = self._progress.setdefault(relay.placement_id.name, ([], []))
+            started.append((relay.placement_id.number, read_boottime()))
 
     def _queue_placed_ended(self, relay, failed):
-        if relay.ticket is not None:
-            self._queue_ended(relay.ticket, failed)
-            relay.ticket = None
+        if relay.placement_id is not None:
+            self._queue_ended(relay.placement_id, failed)
+            relay.placement_id = None
 
     def _send_progress(self):
         progress, self._progress = self._progress, {}
@@ -254,12 +254,14 @@
             key = (address, number)
             placed = self._placed.get(key)
             if placed is not None:
-                placed.pool.start_placed(placed.upstream_state, key, now - age)
+                placed.pool.record_placed_first_byte(
+                    placed.upstream_state, key, now - age
+                )
         for number, failed in ended:
             key = (address, number)
             placed = self._placed.pop(key, None)
             if placed is not None:
-                placed.pool.end_placed(placed.upstream_state, key, failed, now)
+                placed.pool.record_placed_end(placed.upstream_state, key, failed, now)
 
     def _expire(self, now):
         for pool in self._gateway.pools.values():
--- a/src/chervilwing/placer_selection.py
+++ b/src/chervilwing/placer_selection.py
@@ -62,25 +62,25 @@
     charged: bool = False
 
 
-class Ticket(NamedTuple):
+class PlacementId(NamedTuple):
     """Identity of a placed request: its Ask's number and the placing instance."""
 
     number: int
     name: str
 
 
-class PlacingHooks(NamedTuple):
+class PlacementHooks(NamedTuple):
     """Callbacks from the gateway to the placing component; the defaults do nothing.
 
-    ``ask`` asks a placer and returns whether it was asked, ``read_origin`` returns the
-    Origin of choices made here, ``note_started`` and ``note_ended`` report a placed
-    request's first byte and end.
+    ``request_placement`` asks a placer and returns whether it was asked, ``get_origin``
+    returns the PlacementOrigin of choices made here, ``report_started`` and
+    ``report_ended`` report a placed request's first byte and end.
     """
 
-    ask: Callable = lambda relay, now: False
-    read_origin: Callable = lambda: None
-    note_started: Callable = lambda relay: None
-    note_ended: Callable = lambda relay, failed: None
+    request_placement: Callable = lambda relay, now: False
+    get_origin: Callable = lambda: None
+    report_started: Callable = lambda relay: None
+    report_ended: Callable = lambda relay, failed: None
 
 
 def make_ask(number, cfg, relay, excluded, now):
--- a/src/chervilwing/relays.py
+++ b/src/chervilwing/relays.py
@@ -80,7 +80,7 @@
         "sent_at",
         "upstream_state",
         "first_byte_at",
-        "ticket",
+        "placement_id",
         "tried_upstreams",
     )
 
@@ -103,7 +103,7 @@
         self.upstream_state = None
         # Identifies this request to the instance that chose its upstream; None if this
         # instance did.
-        self.ticket = None
+        self.placement_id = None
         self.estimate = None
         self.sent_at = now
         self.first_byte_at = None
--- a/src/chervilwing/report_exchange.py
+++ b/src/chervilwing/report_exchange.py
@@ -347,7 +347,7 @@
 
     def _apply_placements(self, placements):
         for pool in self._gateway.pools.values():
-            pool.learn(placements)
+            pool.add_reported_prompts(placements)
 
     def _find_fanout(self, group):
         if group == FALLBACK:
@@ -379,5 +379,5 @@
         )
         self._gateway.rollouts.hear(source, others.answers)
         for name, pool in self._gateway.pools.items():
-            pool.peers_work = {source: (source[1], others.work.get(name, 0.0))}
-            pool.hear(loads, until, placed_elsewhere)
+            pool.peer_work = {source: (source[1], others.work.get(name, 0.0))}
+            pool.set_peer_loads(loads, until, placed_elsewhere)
--- a/tests/outdated_loads.py
+++ b/tests/outdated_loads.py
@@ -11,7 +11,7 @@
 from itertools import count
 from typing import NamedTuple
 
-from chervilwing.balancing import Origin, PoolBalance
+from chervilwing.balancing import PlacementOrigin, PoolBalancer
 from chervilwing.demands import Demand, PromptPart
 from chervilwing.models import Address
 from chervilwing.registrations import Registration
@@ -107,10 +107,10 @@
         self._queue = []
 
     def _make_pool(self, seed):
-        pool = PoolBalance(TRAITS, "a", random.Random(seed))
+        pool = PoolBalancer(TRAITS, "a", random.Random(seed))
         for number, name in enumerate(self.engines):
             address = Address("10.0.0.1", number)
-            pool.put(Registration(name, "engines", address, "a", 64))
+            pool.put_upstream(Registration(name, "engines", address, "a", 64))
         return pool
 
     def run(self, seconds, shift_at=float("inf")):
@@ -166,13 +166,13 @@
             if not old_enough:
                 continue
             _, loads, sums, placed = old_enough[-1]
-            pool.learn(placed)
+            pool.add_reported_prompts(placed)
             peer_loads = {
                 name: UpstreamLoad(*(a - b for a, b in zip(total, own, strict=True)))
                 for name, total in sums.items()
                 for own in (loads[number][name],)
             }
-            pool.hear(peer_loads, now + 9.0)
+            pool.set_peer_loads(peer_loads, now + 9.0)
         self._push(now + SNAPSHOT_INTERVAL, self._report_loads)
 
     def _arrive(self, now, kind):
@@ -201,11 +201,11 @@
         else:
             upstream_state, estimate = self._ask(pool, demand, now)
             waited = ASK_TIME
-        if pool.is_crowded(estimate, SHORTEST_TARGET):
+        if pool.is_overloaded(estimate, SHORTEST_TARGET):
             self.waits[kind.name].append(REFUSED)
             self._receive_ended(now, upstream_state, demand)
             return
-        pool.send(upstream_state, demand, estimate, now)
+        pool.record_sent(upstream_state, demand, estimate, now)
         at = self.engines[upstream_state.registration.name].read(demand, now) + 0.015
         self.waits[kind.name].append(at + waited - now)
         self._push(at, self._start, pool, upstream_state, demand)
@@ -215,9 +215,9 @@
 
     def _ask(self, pool, demand, now):
         """Return the placer's choice: the asker's own UpstreamState and Estimate."""
-        origin = Origin("a", PLACER)
+        origin = PlacementOrigin("a", PLACER)
         chosen, estimate = self._placer.choose(demand, (), now, origin)
-        self._placer.place(demand.request_id, demand, (chosen, estimate), now)
+        self._placer.record_placed(demand.request_id, demand, (chosen, estimate), now)
         name = chosen.registration.name
         source = (
             estimate.source and pool.upstream_states[estimate.source.registration.name]
@@ -225,7 +225,7 @@
         return pool.upstream_states[name], estimate._replace(source=source)
 
     def _start(self, now, pool, upstream_state, demand):
-        pool.start(upstream_state, demand, now)
+        pool.record_first_byte(upstream_state, demand, now)
         if self._placer is not None and not self._is_lost():
             self._push(
                 now + REPORT_TIME, self._receive_started, upstream_state, demand, now
@@ -234,15 +234,15 @@
         self._push(ended, self._end, pool, upstream_state, demand)
 
     def _end(self, now, pool, upstream_state, demand):
-        pool.end(upstream_state, demand, False, now)
+        pool.record_end(upstream_state, demand, False, now)
         if self._placer is not None and not self._is_lost():
             self._push(now + REPORT_TIME, self._receive_ended, upstream_state, demand)
 
     def _receive_started(self, now, upstream_state, demand, at):
         placer_state = self._placer.upstream_states[upstream_state.registration.name]
-        self._placer.start_placed(placer_state, demand.request_id, at)
+        self._placer.record_placed_first_byte(placer_state, demand.request_id, at)
 
     def _receive_ended(self, now, upstream_state, demand):
         placer_state = self._placer.upstream_states[upstream_state.registration.name]
-        self._placer.end_placed(placer_state, demand.request_id, None, now)
+        self._placer.record_placed_end(placer_state, demand.request_id, None, now)
         self._placer.expire_placed(now)
--- a/tests/placing_fleet.py
+++ b/tests/placing_fleet.py
@@ -10,7 +10,7 @@
 
 from chervilwing import placement_exchange
 from chervilwing.allowances import Allowances
-from chervilwing.balancing import PoolBalance
+from chervilwing.balancing import PoolBalancer
 from chervilwing.coordination import Peer
 from chervilwing.demands import Demand, PromptPart
 from chervilwing.models import Address
@@ -59,7 +59,7 @@
             incarnation=next(fleet.order) * BETWEEN_STARTS,
         )
         self.upstream_limits = UpstreamLimits(Allowances())
-        self.pools = {"engines": PoolBalance(TRAITS, self.cfg.data_centre, fleet.rng)}
+        self.pools = {"engines": PoolBalancer(TRAITS, self.cfg.data_centre, fleet.rng)}
         for number in range(engines):
             self.put(f"u{number}", leaving=False)
         self.datagrams = FakeDatagrams(fleet, name)
@@ -75,7 +75,7 @@
         """Register an upstream, or mark it as leaving."""
         centre = CENTRES[int(upstream[1:]) % len(CENTRES)]
         address = Address("10.1.0.1", int(upstream[1:]))
-        self.pools["engines"].put(
+        self.pools["engines"].put_upstream(
             Registration(upstream, "engines", address, centre, 64, leaving)
         )
 
@@ -88,24 +88,24 @@
 
     def choose(self, relay, now):
         """Choose an upstream here and send the request."""
-        origin = self.placing._read_origin()
+        origin = self.placing._get_origin()
         self.place(relay, relay.pool.choose(relay.demand, (), now, origin), now)
 
     def place(self, relay, found, now):
         """Record a request as sent, and schedule its first byte and its end."""
         upstream_state, estimate = found
         self.sent.append((relay.demand.request_id, upstream_state))
-        relay.pool.send(upstream_state, relay.demand, estimate, now)
+        relay.pool.record_sent(upstream_state, relay.demand, estimate, now)
         self.fleet.call_later(READ_TIME, self._start, relay, upstream_state)
         self.fleet.call_later(RUN_TIME, self._end, relay, upstream_state)
 
     def _start(self, relay, upstream_state):
-        if relay.pool.start(upstream_state, relay.demand, self.fleet.now):
+        if relay.pool.record_first_byte(upstream_state, relay.demand, self.fleet.now):
             self.placing._queue_started(relay)
 
     def _end(self, relay, upstream_state):
         relay.over = True
-        relay.pool.end(upstream_state, relay.demand, False, self.fleet.now)
+        relay.pool.record_end(upstream_state, relay.demand, False, self.fleet.now)
         self.placing._queue_placed_ended(relay, False)
 
 
@@ -183,7 +183,7 @@
             pool=instance.pools["engines"],
             tried=set(),
             over=False,
-            ticket=None,
+            placement_id=None,
         )
         self.requests.append((name, demand.request_id))
         if not instance.placing._send_ask(relay, self.now):
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -4,7 +4,7 @@
 import unittest
 from unittest import mock
 
-from chervilwing.balancing import PoolBalance
+from chervilwing.balancing import PoolBalancer
 from chervilwing.demands import Demand, PromptPart
 from chervilwing.hashing import Ring
 from chervilwing.models import Address
@@ -18,10 +18,10 @@
 
 def make_pool(traits, count=5, data_centre="a"):
     """Return a pool with ``count`` upstreams, all in data centre a."""
-    pool = PoolBalance(traits, data_centre, random.Random(1))
+    pool = PoolBalancer(traits, data_centre, random.Random(1))
     for number in range(count):
         address = Address("10.0.0.1", number)
-        pool.put(Registration(f"u{number}", traits.name, address, "a", 64))
+        pool.put_upstream(Registration(f"u{number}", traits.name, address, "a", 64))
     return pool
 
 
@@ -36,7 +36,7 @@
     def send(self, pool, demand, now=0.0):
         """Send a request to the upstream that the pool chooses; return its name."""
         upstream_state, estimate = pool.choose(demand, (), now)
-        pool.send(upstream_state, demand, estimate, now)
+        pool.record_sent(upstream_state, demand, estimate, now)
         return upstream_state.registration.name
 
 
@@ -79,8 +79,8 @@
                 f"r{number}", ("shared", 2500), ("subject", 3800), (f"o{number}", 2900)
             )
             name = self.send(pool, demand, now=number)
-            pool.start(pool.upstream_states[name], demand, number + 0.1)
-            pool.end(pool.upstream_states[name], demand, False, number + 0.5)
+            pool.record_first_byte(pool.upstream_states[name], demand, number + 0.1)
+            pool.record_end(pool.upstream_states[name], demand, False, number + 0.5)
             names.add(name)
         self.assertEqual(len(names), 1)
 
@@ -122,8 +122,8 @@
         for number in range(60):
             demand = make_demand(f"r{number}", (f"o{number}", 8000))
             name = self.send(pool, demand, now=float(number))
-            pool.start(pool.upstream_states[name], demand, number + 0.8)
-            pool.end(pool.upstream_states[name], demand, False, number + 0.9)
+            pool.record_first_byte(pool.upstream_states[name], demand, number + 0.8)
+            pool.record_end(pool.upstream_states[name], demand, False, number + 0.9)
         self.assertAlmostEqual(pool.rate, 10_000, delta=2_000)
 
 
@@ -143,22 +143,24 @@
                     )
             upstream_state, estimate = pool.choose(demand, (), float(number))
             before = pool.work
-            pool.ask(demand, estimate)
+            pool.record_work(demand, estimate)
             works.append(pool.work - before)
-            pool.send(upstream_state, demand, estimate, float(number))
-            pool.start(upstream_state, demand, number + (0.9 if late else 0.25))
-            pool.end(upstream_state, demand, False, number + 0.95)
+            pool.record_sent(upstream_state, demand, estimate, float(number))
+            pool.record_first_byte(
+                upstream_state, demand, number + (0.9 if late else 0.25)
+            )
+            pool.record_end(upstream_state, demand, False, number + 0.95)
         self.assertAlmostEqual(works[-1], works[19], delta=works[19] * 0.1)
 
     def test_the_work_of_a_request_counts_once_over_all_attempts(self):
         pool = make_pool(ENGINES)
         demand = make_demand("r", ("o", 8000))
         upstream_state, estimate = pool.choose(demand, (), 0.0)
-        pool.ask(demand, estimate)
+        pool.record_work(demand, estimate)
         before = pool.work
         for _ in range(3):
-            pool.send(upstream_state, demand, estimate, 0.0)
-            pool.end(upstream_state, demand, True, 0.1)
+            pool.record_sent(upstream_state, demand, estimate, 0.0)
+            pool.record_end(upstream_state, demand, True, 0.1)
         self.assertEqual(pool.work, before)
 
 
@@ -173,7 +175,7 @@
             name = self.send(pool, demand, now)
             sent.append(name)
             failed = name == "u0" and rng.random() < 0.5
-            pool.end(pool.upstream_states[name], demand, failed, now + 0.04)
+            pool.record_end(pool.upstream_states[name], demand, failed, now + 0.04)
         self.assertLess(sent.count("u0") / len(sent), 0.12)
 
     def test_a_recovered_upstream_is_used_again(self):
--- a/tests/test_prompt_caches.py
+++ b/tests/test_prompt_caches.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from chervilwing.balancing import PoolBalance
+from chervilwing.balancing import PoolBalancer
 from chervilwing.demands import Demand, PromptPart
 from chervilwing.dialects import Errand
 from chervilwing.instance_reports import Placements
@@ -26,10 +26,10 @@
 
 def make_pool(traits=FETCHING, seed=1):
     """Return one instance's pool of four engines."""
-    pool = PoolBalance(traits, "a", random.Random(seed))
+    pool = PoolBalancer(traits, "a", random.Random(seed))
     for number in range(4):
         address = Address("10.0.0.1", number)
-        pool.put(Registration(f"u{number}", traits.name, address, "a", 64))
+        pool.put_upstream(Registration(f"u{number}", traits.name, address, "a", 64))
     return pool
 
 
@@ -42,7 +42,7 @@
 def send(pool, demand, now=0.0):
     """Send a request to the chosen upstream; return its name and the Estimate."""
     upstream_state, estimate = pool.choose(demand, (), now)
-    pool.send(upstream_state, demand, estimate, now)
+    pool.record_sent(upstream_state, demand, estimate, now)
     return upstream_state.registration.name, estimate
 
 
@@ -136,7 +136,7 @@
         demand = make_demand("r0")
         owner = pool.choose(demand, (), 0.0)[0].registration.name
         holder = next(name for name in pool.upstream_states if name != owner)
-        pool.learn([Placement(holder, "history", 5500)])
+        pool.add_reported_prompts([Placement(holder, "history", 5500)])
         estimate = pool.estimate(
             pool.upstream_states[owner],
             demand,
@@ -164,12 +164,12 @@
         name, _ = send(pool, make_demand("r0"))
         registration = pool.upstream_states[name].registration
         pool.remove(name)
-        pool.put(registration)
+        pool.put_upstream(registration)
         self.assertEqual(pool.caches.count_cached(name, HISTORY), 0)
 
     def test_reports_about_a_removed_upstream_are_ignored(self):
         pool = make_pool()
-        pool.learn([Placement("gone", "history", 5500)])
+        pool.add_reported_prompts([Placement("gone", "history", 5500)])
         self.assertEqual(pool.caches.count_cached("gone", HISTORY), 0)
 
     def test_a_source_named_by_the_caller_is_removed(self):
--- a/tests/test_service_times.py
+++ b/tests/test_service_times.py
@@ -39,10 +39,10 @@
         pool = make_pool(PAGES)
         found = pool.choose(make_demand("r"), (), 10.0)
         for number in range(8):
-            pool.place(number, make_demand("r"), found, 10.0)
+            pool.record_placed(number, make_demand("r"), found, 10.0)
         for number in range(8):
-            pool.start_placed(found[0], number, 18.0)
-            pool.end_placed(found[0], number, False, 18.0)
+            pool.record_placed_first_byte(found[0], number, 18.0)
+            pool.record_placed_end(found[0], number, False, 18.0)
         _, estimate = pool.choose(make_demand("r"), (), 18.1)
         self.assertLess(estimate.seconds, DEADLINE / 2)
 
