--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -181,7 +181,7 @@
         found = self._choose(pool, caller, now)
         if found is not None:
             pool.record_work(caller.demand, found[1])
-            if found[1].seconds <= (caller.ends_at - now) * gateway.HOPELESS_PART:
+            if found[1].seconds <= (caller.ends_at - now) * gateway.MAX_DEADLINE_PART:
                 self._send(pool, caller, found)
                 return
         # Refused once, a caller comes back.
--- a/src/chervilwing/attempts.py
+++ b/src/chervilwing/attempts.py
@@ -5,7 +5,7 @@
 
 from .clocks import read_boottime
 from .connections import IDLE_LIMIT, Call, CallHandlers
-from .dialects import HOP_BY_HOP, Errand
+from .dialects import HOP_BY_HOP, AttemptContext
 from .exceptions import (
     NOT_RUN,
     ChervilwingError,
@@ -91,7 +91,7 @@
     def _place_again(self, relay):
         now = read_boottime()
         if not self._gateway.placing.request_placement(relay, now):
-            self.resend(relay, self._gateway.choose(relay, now))
+            self.resend(relay, self._gateway.choose_upstream(relay, now))
 
     def resend(self, relay, choice):
         """Send a request once more, or give up if that is not allowed."""
@@ -106,7 +106,7 @@
     def _make_call(self, relay, now):
         req = relay.exchange.req
         route = relay.route
-        errand = Errand(
+        context = AttemptContext(
             relay.upstream_state.registration.name,
             relay.name,
             relay.deadline - now,
@@ -121,7 +121,7 @@
             relay.upstream_state.registration.address,
             req.method,
             req.target,
-            self._dialect.write_headers(relay.headers, errand),
+            self._dialect.write_headers(relay.headers, context),
             req.body,
             connect_timeout=CONNECT_TIMEOUT,
             silence_timeout=float("inf"),
@@ -137,13 +137,13 @@
 
     def _on_head(self, relay, status, headers):
         relay.answer = (status, headers)
-        verdict = self._dialect.judge(status, headers)
-        self._record_limit(relay, verdict)
-        if verdict.not_run:
+        answer_status = self._dialect.read_answer_head(status, headers)
+        self._record_limit(relay, answer_status)
+        if answer_status.not_run:
             self._retry_not_run(relay)
             return
         self._gateway.crash_watch.note_answered(relay)
-        if not verdict.authentic:
+        if not answer_status.authentic:
             self._abort_attempt(relay, "The answer is not the upstream's own.")
             return
         is_stream = status == HTTP_OK and headers.get("content-type", "").startswith(
@@ -157,13 +157,13 @@
             relay.exchange.on_drain = partial(self._on_drain, relay)
             relay.exchange.relay_head(status, drop_hop_by_hop(headers), None)
 
-    def _record_limit(self, relay, verdict):
+    def _record_limit(self, relay, answer_status):
         """Record the request limit that an answer states for its upstream."""
-        if verdict.limit is not None and verdict.limit < inf:
-            relay.limit = verdict.limit
+        if answer_status.limit is not None and answer_status.limit < inf:
+            relay.limit = answer_status.limit
         name, now = relay.upstream_state.registration.name, read_boottime()
         self._gateway.upstream_limits.note_answer(
-            name, verdict.limit, relay.sent_at, now
+            name, answer_status.limit, relay.sent_at, now
         )
 
     def _retry_not_run(self, relay):
@@ -176,7 +176,7 @@
 
     def _may_retry(self, relay):
         now = read_boottime()
-        if relay.over or relay.attempts >= relay.route.attempts:
+        if relay.ended or relay.attempts >= relay.route.attempts:
             return False
         if self._gateway.crashes.is_barred(relay.fingerprint, now):
             return False
@@ -286,7 +286,7 @@
             if isinstance(exc, ConnectionBroken):
                 self._gateway.crash_watch.note_broken(relay, read_boottime())
         self.end_attempt(relay, failed=True)
-        if relay.over:
+        if relay.ended:
             return
         if not relay.route.repeatable and relay.may_have_run:
             self.give_up(relay, exc)
--- a/src/chervilwing/coordination.py
+++ b/src/chervilwing/coordination.py
@@ -134,7 +134,7 @@
         """Return the maximum age of the knowledge of keys, in seconds."""
         return read_boottime() - self._documents.as_of
 
-    def registrations_since(self):
+    def registrations_fresh_since(self):
         """Return since when registrations have been fresh without a break.
 
         While the store is unreachable, no registration is dropped, and the time is
@@ -326,7 +326,7 @@
         found = self._read(self._sources.read_registration, item)
         if found is None:
             # Overwritten by another writer: the item names no upstream any more.
-            self._gateway.drop_upstream(name)
+            self._gateway.remove_upstream_now(name)
             return
         self._gateway.put_upstream(found)
         log_event(
--- a/src/chervilwing/crash_detection.py
+++ b/src/chervilwing/crash_detection.py
@@ -143,7 +143,7 @@
         """
         cfg = self._gateway.cfg
         lapsed_at = now - cfg.heartbeat * LAPSE_HEARTBEATS - LAPSE_KNOWN_AFTER
-        if cfg.routes or self._gateway.registrations_since() > lapsed_at:
+        if cfg.routes or self._gateway.registrations_fresh_since() > lapsed_at:
             return
         for name in self._records.list_crashed(lapsed_at):
             if name in self._gateway.registry.members:
--- a/src/chervilwing/credit_exchange.py
+++ b/src/chervilwing/credit_exchange.py
@@ -40,7 +40,7 @@
         self._peers_version = None
         self._claimed_at = float("-inf")
         self._lacks_credit = False
-        gateway.on_lacking = self._claim_soon
+        gateway.on_credit_needed = self._claim_soon
         datagrams.subscribe(CLAIM, self._receive_claim)
         datagrams.subscribe(GRANT, self._receive_grant)
         datagrams.subscribe(PROBE, self._receive_probe)
@@ -128,7 +128,7 @@
         if not self._allowances.receive_grant(Grant(*fields), now):
             return
         self._grant_waiting()
-        self._gateway.resume_waiting(now)
+        self._gateway.retry_waiting_requests(now)
 
     def _grant_waiting(self):
         """Grant newly available credit to children that still lack it."""
--- a/src/chervilwing/dialects.py
+++ b/src/chervilwing/dialects.py
@@ -32,7 +32,7 @@
 )
 
 
-class Verdict(NamedTuple):
+class AnswerStatus(NamedTuple):
     """What the status and header fields of an upstream's answer state.
 
     ``not_run`` means that the request certainly has not run and never will.
@@ -46,7 +46,7 @@
     limit: float | None = None
 
 
-class Errand(NamedTuple):
+class AttemptContext(NamedTuple):
     """Data of one attempt that is written into its header fields.
 
     ``seconds_left`` is the time until the deadline, ``urgency`` a priority (0 is most
@@ -67,16 +67,17 @@
 
     ``read_demand`` accepts a request, the current time and the route's time limit in
     seconds, and returns a Demand. ``write_headers`` accepts the caller's header fields
-    and an Errand, and returns the fields for the upstream. ``judge`` accepts the status
-    and header fields of an answer and returns a Verdict. ``belongs_to`` accepts the
-    head of an answer and a request id, and returns whether they match. ``measure_cost``
-    returns what a request is charged to its organisation's allowance.
+    and an AttemptContext, and returns the fields for the upstream. ``read_answer_head``
+    accepts the status and header fields of an answer and returns an AnswerStatus.
+    ``belongs_to`` accepts the head of an answer and a request id, and returns whether
+    they match. ``measure_cost`` returns what a request is charged to its organisation's
+    allowance.
     ``format_retry_after`` accepts seconds and returns the value of Retry-After.
     """
 
     read_demand: Callable
     write_headers: Callable
-    judge: Callable
+    read_answer_head: Callable
     belongs_to: Callable
     measure_cost: Callable
     format_retry_after: Callable
@@ -96,13 +97,13 @@
     return Demand(request_id, now + min(seconds, time_limit))
 
 
-def _write_headers(headers, errand):
+def _write_headers(headers, context):
     fields = select_end_to_end(headers)
     fields.pop("authorization", None)
-    fields["chervilwing-timeout"] = f"{errand.seconds_left:.3f}"
-    fields["chervilwing-customer"] = errand.organisation
-    if errand.last_event:
-        fields["last-event-id"] = errand.last_event
+    fields["chervilwing-timeout"] = f"{context.seconds_left:.3f}"
+    fields["chervilwing-customer"] = context.organisation
+    if context.last_event:
+        fields["last-event-id"] = context.last_event
     return fields
 
 
@@ -115,9 +116,11 @@
     return limit if limit >= 0.0 else None
 
 
-def _judge(status, headers):
+def _read_answer_head(status, headers):
     not_run = headers.get("chervilwing-outcome") == "not_run"
-    return Verdict(not_run, limit=read_limit(headers.get("chervilwing-limit", "inf")))
+    return AnswerStatus(
+        not_run, limit=read_limit(headers.get("chervilwing-limit", "inf"))
+    )
 
 
 def _belongs_to(head, request_id):
@@ -138,7 +141,7 @@
 PLAIN = Dialect(
     _read_demand,
     _write_headers,
-    _judge,
+    _read_answer_head,
     _belongs_to,
     _measure_cost,
     _format_retry_after,
--- a/src/chervilwing/gateway.py
+++ b/src/chervilwing/gateway.py
@@ -39,7 +39,7 @@
 STOPPING_RETRY_AFTER = 0.1
 # A request is refused if its estimated time exceeds this part of the time left until
 # its deadline. Estimates err by about a quarter.
-HOPELESS_PART = 0.9
+MAX_DEADLINE_PART = 0.9
 # A request waits for its customer's credit at most this many seconds, and at most this
 # part of its latency target. The instances that grant credit answer in milliseconds,
 # also when a second instance has to be asked.
@@ -83,7 +83,7 @@
         self.registry = Registry()
         self.allowances = Allowances(cfg.name, cfg.incarnation, STARTED_AT)
         # Called when a request has to wait for its customer's credit.
-        self.on_lacking = lambda: None
+        self.on_credit_needed = lambda: None
         self._waiting = []
         self.placing = PlacementHooks()
         self.rollouts = Rollouts()
@@ -97,7 +97,7 @@
         self.on_usage = lambda organisation, seconds_ago: None
         # Returns since when the copy of the registrations has been up to date without
         # interruption.
-        self.registrations_since = lambda: float("inf")
+        self.registrations_fresh_since = lambda: float("inf")
         self.draining = False
         self.crash_watch = CrashWatch(poller, self, client).register(self)
         self._attempts = Attempts(self, client, dialect)
@@ -139,7 +139,7 @@
         if self.registry.remove(name, read_boottime(), regained_at):
             self._handle_lost_upstream(name)
 
-    def drop_upstream(self, name):
+    def remove_upstream_now(self, name):
         """Remove an upstream without a grace period."""
         self.registry.drop(name)
         self._handle_lost_upstream(name)
@@ -167,7 +167,7 @@
     def _report_limit(self, upstream, rate, was):
         """Log an upstream's new or removed limit and report it to other instances."""
         log_event("upstream limit", upstream=upstream, rate=rate, was=was)
-        self.on_lacking()
+        self.on_credit_needed()
 
     def _get_or_create_pool(self, name):
         pool = self.pools.get(name)
@@ -189,7 +189,7 @@
         if not sent:
             self._waiting.append(relay)
             self.allowances.wait(relay.organisation, relay.cost)
-            self.on_lacking()
+            self.on_credit_needed()
 
     def _log_and_refuse(self, exchange, exc):
         log_request(describe_refusal(exchange.req, exc, self._get_document_version()))
@@ -220,16 +220,16 @@
             return False
         relay.charged_at = now
         if not self.placing.request_placement(relay, now):
-            self._send(relay, self.choose(relay, now), now)
+            self._send(relay, self.choose_upstream(relay, now), now)
         return True
 
-    def choose(self, relay, now):
+    def choose_upstream(self, relay, now):
         """Return this instance's best (upstream, estimate), or None without one."""
         origin = self.placing.get_origin()
         exhausted = self.upstream_limits.list_exhausted(relay.pool.upstream_states, now)
         if origin is not None and origin.placer:
             self.upstream_limits.seek(exhausted, now)
-        excluded = exhausted | self.list_excluded(relay, now)
+        excluded = exhausted | self.list_excluded_upstreams(relay, now)
         return relay.pool.choose(relay.demand, excluded, now, origin)
 
     def check_send(self, relay, choice, now):
@@ -257,7 +257,7 @@
             return NoUpstream(scope=scope, retry_after=RETRY_AFTER)
         return PoolLimited(scope=scope, retry_after=wait)
 
-    def list_excluded(self, relay, now):
+    def list_excluded_upstreams(self, relay, now):
         """Return the names of the upstreams to which a request must not be sent."""
         draw = None if relay.attempts else relay.rollout_draw
         pool = relay.pool
@@ -277,11 +277,11 @@
         slow = elapsed > relay.estimate.seconds * SLOW_FACTOR + SLOW_MARGIN
         self.rollouts.note_answer(pool, version, relay.route.name, failed or slow)
 
-    def place_alone(self, relay, now):
+    def place_locally(self, relay, now):
         """Send a request to the best upstream by this instance's own data."""
-        self.place(relay, self.choose(relay, now), now)
+        self.send_to_choice(relay, self.choose_upstream(relay, now), now)
 
-    def place(self, relay, choice, now):
+    def send_to_choice(self, relay, choice, now):
         """Send a waiting request to the upstream chosen for it, or refuse it."""
         try:
             self._send(relay, choice, now)
@@ -290,7 +290,7 @@
 
     def _refuse_waiting(self, relay, exc):
         """Refuse a waiting request that was not sent to any upstream."""
-        relay.over = True
+        relay.ended = True
         self.relays.discard(relay)
         self._log_and_refuse(relay.exchange, exc)
 
@@ -316,12 +316,12 @@
                 relay.organisation, relay.cost, now - relay.charged_at
             )
 
-    def resume_waiting(self, now):
+    def retry_waiting_requests(self, now):
         """Send waiting requests that have credit now; refuse those past the limit."""
         waiting, self._waiting = self._waiting, []
         for relay in waiting:
             try:
-                if not relay.over and not self._charge_and_place(relay, now):
+                if not relay.ended and not self._charge_and_place(relay, now):
                     self._keep_waiting(relay, now)
                     continue
             except ChervilwingError as exc:
@@ -353,7 +353,7 @@
         """Raise PoolFull if the deadline can't be met or the pool is overloaded."""
         scope = Scope("pool", relay.pool.traits.name)
         seconds = estimate.seconds
-        hopeless = seconds > (relay.deadline - now) * HOPELESS_PART
+        hopeless = seconds > (relay.deadline - now) * MAX_DEADLINE_PART
         shortest = self.table.shortest.get(scope.name, float("inf"))
         if hopeless or relay.pool.is_overloaded(estimate, shortest):
             relay.pool.record_work(relay.demand, estimate)
@@ -370,7 +370,7 @@
     def _on_caller_left(self, exchange):
         """Cancel the request of a caller that has disconnected."""
         relay = exchange.tag
-        if relay is None or relay.over:
+        if relay is None or relay.ended:
             return
         if relay.call is not None:
             self.crash_watch.note_left(relay, read_boottime())
@@ -381,7 +381,7 @@
     def _on_tick(self):
         """Retry requests that wait for credit; end those past their deadline."""
         now = read_boottime()
-        self.resume_waiting(now)
+        self.retry_waiting_requests(now)
         for relay in list(self.relays):
             if now >= relay.deadline:
                 self._expire(relay)
@@ -397,7 +397,7 @@
 
     def close(self, relay, outcome, status, cause=""):
         """Record the end of a request in metrics and log."""
-        relay.over = True
+        relay.ended = True
         self.relays.discard(relay)
         now = read_boottime()
         series = self.stats.select(relay.name or OPEN_LABEL, relay.route.name)
--- a/src/chervilwing/gatewayd.py
+++ b/src/chervilwing/gatewayd.py
@@ -68,7 +68,9 @@
         self._coordinator = Coordinator(
             cfg, self._store, adapter.sources, self.gateway
         ).register(self)
-        self.gateway.registrations_since = self._coordinator.registrations_since
+        self.gateway.registrations_fresh_since = (
+            self._coordinator.registrations_fresh_since
+        )
         self._usage_parts = UsageParts(cfg, self._store, agreed_time).register(self)
         self.gateway.on_usage = self._usage_parts.count
         neighbours = Neighbours(
--- a/src/chervilwing/placement_exchange.py
+++ b/src/chervilwing/placement_exchange.py
@@ -127,7 +127,7 @@
             return False
         self._last_number += 1
         self._pending[self._last_number] = PendingAsk(relay, target, now)
-        excluded = self._gateway.list_excluded(relay, now)
+        excluded = self._gateway.list_excluded_upstreams(relay, now)
         ask = make_ask(self._last_number, self._cfg, relay, excluded, now)
         self._datagrams.send(ASK, ask, peer.address)
         return True
@@ -143,8 +143,8 @@
         self._selector.record_timeout(item.placer, now)
         # The ask may have arrived, and only its answer been lost.
         self._queue_ended(PlacementId(number, item.placer))
-        if not item.relay.over:
-            self._gateway.place_alone(item.relay, now)
+        if not item.relay.ended:
+            self._gateway.place_locally(item.relay, now)
 
     def _receive_ask(self, address, *fields):
         """Choose an upstream for another instance's request and send the answer."""
@@ -186,14 +186,14 @@
             return
         self._selector.record_answer(answer.name)
         relay, placement_id = item.relay, PlacementId(answer.number, answer.name)
-        found = None if relay.over else self._read_choice(relay, answer, now)
+        found = None if relay.ended else self._read_choice(relay, answer, now)
         if found is not None:
             relay.placement_id = placement_id
-            self._gateway.place(relay, found, now)
+            self._gateway.send_to_choice(relay, found, now)
             return
         self._queue_ended(placement_id)
-        if not relay.over:
-            self._gateway.place_alone(relay, now)
+        if not relay.ended:
+            self._gateway.place_locally(relay, now)
 
     def _read_choice(self, relay, answer, now):
         """Return the upstream and Estimate of an answer, or None if it is unusable.
@@ -204,7 +204,7 @@
         upstream_state = relay.pool.upstream_states.get(answer.upstream)
         if upstream_state is None or upstream_state.registration.leaving:
             return None
-        if answer.upstream in self._gateway.list_excluded(relay, now):
+        if answer.upstream in self._gateway.list_excluded_upstreams(relay, now):
             return None
         limits = self._gateway.upstream_limits
         upstream_states = {answer.upstream: upstream_state}
--- a/src/chervilwing/platform/headers.py
+++ b/src/chervilwing/platform/headers.py
@@ -4,7 +4,7 @@
 
 from ..addresses import format_address
 from ..demands import Demand, PromptPart
-from ..dialects import Dialect, Verdict, read_limit, select_end_to_end
+from ..dialects import AnswerStatus, Dialect, read_limit, select_end_to_end
 
 REQUEST_ID = "x-request-id"
 DEADLINE = "x-deadline-ms"
@@ -77,42 +77,42 @@
     )
 
 
-def write_headers(headers, errand):
+def write_headers(headers, context):
     """Return the header fields of an attempt at an upstream."""
     fields = select_end_to_end(headers)
     fields = {name: value for name, value in fields.items() if name not in RESERVED}
-    fields[DEADLINE] = str(max(1, int(errand.seconds_left * 1000)))
-    fields[EXPECTED_UPSTREAM] = errand.upstream
-    if errand.organisation:
-        fields[ORGANISATION] = errand.organisation
-    if errand.urgency is not None:
-        fields[URGENCY] = str(min(LEAST_URGENT, max(0, errand.urgency)))
-    if errand.source is not None:
-        fields[FETCH] = format_address(errand.source)
-    if errand.last_event:
-        fields[LAST_EVENT] = errand.last_event
+    fields[DEADLINE] = str(max(1, int(context.seconds_left * 1000)))
+    fields[EXPECTED_UPSTREAM] = context.upstream
+    if context.organisation:
+        fields[ORGANISATION] = context.organisation
+    if context.urgency is not None:
+        fields[URGENCY] = str(min(LEAST_URGENT, max(0, context.urgency)))
+    if context.source is not None:
+        fields[FETCH] = format_address(context.source)
+    if context.last_event:
+        fields[LAST_EVENT] = context.last_event
     return fields
 
 
-def judge(status, headers):
-    """Return the Verdict of an answer's status and header fields."""
+def read_answer_head(status, headers):
+    """Return the AnswerStatus of an answer's status and header fields."""
     if status == MISDIRECTED:
         # Another upstream answered at this address, so its limit is not that of the
         # expected one.
-        return Verdict(not_run=True)
+        return AnswerStatus(not_run=True)
     if NOT_RUN in headers:
-        return Verdict(not_run=True, limit=read_stated_limit(headers))
+        return AnswerStatus(not_run=True, limit=read_stated_limit(headers))
     success = 200 <= status < 300
     authentic = "content-encoding" not in headers and (
         SIGNATURE in headers or not success
     )
-    return Verdict(
+    return AnswerStatus(
         authentic=authentic, limit=read_stated_limit(headers) if authentic else None
     )
 
 
 def read_stated_limit(headers):
-    """Return the limit that an answer states; see Verdict.
+    """Return the limit that an answer states; see AnswerStatus.
 
     An error may come from a proxy in front of the upstream. Therefore a missing limit
     means "no limit" only in an answer with the upstream's signature; otherwise such an
@@ -141,5 +141,10 @@
 
 
 DIALECT = Dialect(
-    read_demand, write_headers, judge, belongs_to, measure_cost, format_retry_after
+    read_demand,
+    write_headers,
+    read_answer_head,
+    belongs_to,
+    measure_cost,
+    format_retry_after,
 )
--- a/src/chervilwing/relays.py
+++ b/src/chervilwing/relays.py
@@ -73,7 +73,7 @@
         "limit",
         "may_have_run",
         "organisation",
-        "over",
+        "ended",
         "pool",
         "received_at",
         "route",
@@ -121,7 +121,7 @@
         self.cost = 0.0
         # When the cost was charged, None before that.
         self.charged_at = None
-        self.over = False
+        self.ended = False
 
     @property
     def name(self):
--- a/src/chervilwing/upstream_limits.py
+++ b/src/chervilwing/upstream_limits.py
@@ -82,7 +82,7 @@
         self._next_expire = float("-inf")
 
     def note_answer(self, upstream, limit, sent_at, now):
-        """Update an upstream's limit from an answer; see Verdict.
+        """Update an upstream's limit from an answer; see AnswerStatus.
 
         ``limit`` is infinity if the answer states that there is none, and None if it
         says nothing. Answers may overtake each other, so an answer without a limit ends
--- a/tests/placing_fleet.py
+++ b/tests/placing_fleet.py
@@ -79,19 +79,21 @@
             Registration(upstream, "engines", address, centre, 64, leaving)
         )
 
-    def place_alone(self, relay, now):
+    def place_locally(self, relay, now):
         self.unanswered += 1
-        self.choose(relay, now)
+        self.choose_upstream(relay, now)
 
-    def list_excluded(self, relay, now):
+    def list_excluded_upstreams(self, relay, now):
         return relay.tried
 
-    def choose(self, relay, now):
+    def choose_upstream(self, relay, now):
         """Choose an upstream here and send the request."""
         origin = self.placing._get_origin()
-        self.place(relay, relay.pool.choose(relay.demand, (), now, origin), now)
+        self.send_to_choice(
+            relay, relay.pool.choose(relay.demand, (), now, origin), now
+        )
 
-    def place(self, relay, found, now):
+    def send_to_choice(self, relay, found, now):
         """Record a request as sent, and schedule its first byte and its end."""
         upstream_state, estimate = found
         self.sent.append((relay.demand.request_id, upstream_state))
@@ -104,7 +106,7 @@
             self.placing._queue_started(relay)
 
     def _end(self, relay, upstream_state):
-        relay.over = True
+        relay.ended = True
         relay.pool.record_end(upstream_state, relay.demand, False, self.fleet.now)
         self.placing._queue_placed_ended(relay, False)
 
@@ -182,12 +184,12 @@
             demand=demand,
             pool=instance.pools["engines"],
             tried=set(),
-            over=False,
+            ended=False,
             placement_id=None,
         )
         self.requests.append((name, demand.request_id))
         if not instance.placing._send_ask(relay, self.now):
-            instance.choose(relay, self.now)
+            instance.choose_upstream(relay, self.now)
 
     def list_living(self):
         return [i for name, i in self.instances.items() if name not in self.dead]
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -159,7 +159,7 @@
     def test_an_upstream_that_stays_registered_has_not_crashed(self):
         # All requests of its pool are barred, so no answer can show that it is running.
         run, _ = self.start_crashed()
-        run.gateway.registrations_since = lambda: float("-inf")
+        run.gateway.registrations_fresh_since = lambda: float("-inf")
         watch = run.gateway.crash_watch
         watch.clear_registered(read_boottime() + LAPSED_AFTER - 1.0)
         self.assertEqual(self.count_now(b"n"), 1)
@@ -171,10 +171,10 @@
         watch = run.gateway.crash_watch
         # No registration lapses while the store is away and some seconds after that.
         for since in (read_boottime() + 1.0, float("inf")):
-            run.gateway.registrations_since = lambda since=since: since
+            run.gateway.registrations_fresh_since = lambda since=since: since
             watch.clear_registered(read_boottime() + LAPSED_AFTER + 0.1)
             self.assertEqual(self.count_now(b"n"), 1)
-        run.gateway.registrations_since = lambda: float("-inf")
+        run.gateway.registrations_fresh_since = lambda: float("-inf")
         run.gateway.remove_upstream("u0", float("-inf"))
         watch.clear_registered(read_boottime() + LAPSED_AFTER + 0.1)
         self.assertEqual(self.count_now(b"n"), 1)
@@ -252,7 +252,7 @@
         for number in range(CRASH_LIMIT):
             upstream = CrashingUpstream()
             self.addCleanup(upstream.close)
-            run.gateway.drop_upstream("u0")
+            run.gateway.remove_upstream_now("u0")
             run.gateway.put_upstream(run.register("u0", upstream.port))
             self.assertEqual(run.call("POST", "/note/x", b"n").status, 200)
             self.assertEqual(run.call("POST", "/note/x", CRASHING).status, 502)
--- a/tests/test_prompt_caches.py
+++ b/tests/test_prompt_caches.py
@@ -5,7 +5,7 @@
 
 from chervilwing.balancing import PoolBalancer
 from chervilwing.demands import Demand, PromptPart
-from chervilwing.dialects import Errand
+from chervilwing.dialects import AttemptContext
 from chervilwing.instance_reports import Placements
 from chervilwing.models import Address
 from chervilwing.platform.headers import FETCH, write_headers
@@ -174,8 +174,8 @@
 
     def test_a_source_named_by_the_caller_is_removed(self):
         # A caller that could name a source would choose where engines read from.
-        errand = Errand("u0", "insurer", 5.0)
-        self.assertNotIn(FETCH, write_headers({FETCH: "10.0.0.9:1"}, errand))
-        errand = errand._replace(source=Address("10.0.0.2", 80))
-        written = write_headers({FETCH: "10.0.0.9:1"}, errand)
+        context = AttemptContext("u0", "insurer", 5.0)
+        self.assertNotIn(FETCH, write_headers({FETCH: "10.0.0.9:1"}, context))
+        context = context._replace(source=Address("10.0.0.2", 80))
+        written = write_headers({FETCH: "10.0.0.9:1"}, context)
         self.assertEqual(written[FETCH], "10.0.0.2:80")
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -140,7 +140,7 @@
     def read(self, status, **headers):
         """Return the limit that the headers of an answer state."""
         fields = {name.replace("_", "-"): value for name, value in headers.items()}
-        return DIALECT.judge(status, fields).limit
+        return DIALECT.read_answer_head(status, fields).limit
 
     def test_a_limit_is_read_from_successes_failures_and_refusals(self):
         self.assertEqual(self.read(200, server_limit="1.5", **SIGNED), 1.5)
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -238,7 +238,7 @@
     ),
     Weakness(
         "a success without the upstream's signature is accepted",
-        (Edit("attempts", "if not verdict.authentic:", "if False:"),),
+        (Edit("attempts", "if not answer_status.authentic:", "if False:"),),
         (FAILURES + "a_success_without_the_upstreams_signature_is_not_relayed",),
     ),
     Weakness(
