--- a/bench/draws.py
+++ b/bench/draws.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from chervilwing.demands import PromptPart
-from chervilwing.routing import FleetTraits
+from chervilwing.routing import FleetSpec
 
 RANGES = Path(__file__).with_name("drawn.toml")
 CENTRES = ("a", "b", "c")
@@ -67,7 +67,7 @@
     gateways: int
     work: float
     instance_cost: float
-    fleet: FleetTraits
+    fleet: FleetSpec
     engine: EngineFigures
     kinds: tuple[Kind, ...]
     bursts: tuple[Burst, ...]
@@ -98,7 +98,7 @@
     kinds = draw_kinds(ranges["kinds"], work, engine, rng)
     trouble, seconds = ranges["trouble"], ranges["seconds"]
     prices = {centre: between(rng, ranges["centre_price"]) for centre in CENTRES}
-    fleet = FleetTraits(
+    fleet = FleetSpec(
         1,
         max(whole(rng, ranges["maximum"]), int(work) + 3),
         between(rng, ranges["boot"]),
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -20,8 +20,8 @@
 from chervilwing import gateway
 from chervilwing.balancing import PlacementOrigin, PoolBalancer
 from chervilwing.demands import Demand
-from chervilwing.routing import EngineTraits, PoolTraits
-from chervilwing.sizing import Kind, Sizing
+from chervilwing.routing import EngineSpec, PoolSpec
+from chervilwing.sizing import InstanceKind, Sizing
 from chervilwing.upstream_states import NO_LOAD, add_loads
 
 from .draws import CENTRES, draw, draw_arrivals, read_ranges
@@ -97,13 +97,13 @@
         self.clock.now = -deployment.lead
         self.market = Market(self.clock, deployment, self._register)
         memory = deployment.engine.memory_tokens
-        traits = PoolTraits(
+        spec = PoolSpec(
             "engines",
-            engine=EngineTraits(SLOTS, memory, TOKEN_BYTES, LINK_RATE),
+            engine=EngineSpec(SLOTS, memory, TOKEN_BYTES, LINK_RATE),
             fleet=deployment.fleet,
         )
         self.pools = [
-            PoolBalancer(traits, CENTRES[n % len(CENTRES)], random.Random(seed + n))
+            PoolBalancer(spec, CENTRES[n % len(CENTRES)], random.Random(seed + n))
             for n in range(deployment.gateways)
         ]
         self.sizing = Sizing()
@@ -115,7 +115,9 @@
     def run(self):
         """Play and return the Outcome."""
         others = int(np.ceil(1.5 * self.deployment.work)) + 2
-        centres = [Kind(CENTRES[n % len(CENTRES)], False) for n in range(others)]
+        centres = [
+            InstanceKind(CENTRES[n % len(CENTRES)], False) for n in range(others)
+        ]
         self.market.start(Counter(centres))
         self._order()
         self._tell_loads(None)
@@ -144,15 +146,15 @@
             self.market.count_paid()
             return
         totals = {str(n): (0, pool.work) for n, pool in enumerate(self.pools)}
-        self.sizing.meter.measure(totals, now)
-        due = self.sizing.list_due(
+        self.sizing.meter.update(totals, now)
+        due = self.sizing.list_due_orders(
             self.deployment.fleet, list(self.registered.values()), now
         )
         for kind, number in due[:1]:
             if self.market.order(kind, number):
-                self.sizing.note_ordered(kind, number, now)
+                self.sizing.record_ordered(kind, number, now)
             else:
-                self.sizing.note_denied(kind, now)
+                self.sizing.record_denied(kind, now)
         self.clock.call(ORDER_EVERY, self._order)
 
     def _tell_loads(self, before):
--- a/bench/market.py
+++ b/bench/market.py
@@ -5,7 +5,7 @@
 
 from chervilwing.models import Address
 from chervilwing.registrations import Registration
-from chervilwing.sizing import Kind
+from chervilwing.sizing import InstanceKind
 
 from .stepping import SteppingEngine
 
@@ -20,7 +20,7 @@
 class Member(NamedTuple):
     """An instance that runs or boots; ``engine`` is None while it boots."""
 
-    kind: Kind
+    kind: InstanceKind
     engine: SteppingEngine | None
 
 
@@ -39,7 +39,7 @@
         self._counted_at = None
 
     def start(self, counts):
-        """Begin with so many instances of each Kind that are there already."""
+        """Begin with so many instances of each InstanceKind that are there already."""
         self._counted_at = self._clock.now
         for kind, number in counts.items():
             for _ in range(number):
@@ -57,7 +57,7 @@
         for _ in range(lacking):
             name = f"i{next(self._numbers)}"
             self.members[name] = Member(kind, None)
-            self._clock.call(self._deployment.fleet.boot, self._boot, name)
+            self._clock.call(self._deployment.fleet.boot_time, self._boot, name)
         return True
 
     def reclaim(self, wave):
@@ -65,7 +65,7 @@
         self.count_paid()
         self._dry_until = self._clock.now + wave.dry
         for name, member in list(self.members.items()):
-            if member.kind == Kind(wave.centre, True):
+            if member.kind == InstanceKind(wave.centre, True):
                 self._leave(name, member, wave.notice)
 
     def crash(self):
--- a/src/chervilwing/attempts.py
+++ b/src/chervilwing/attempts.py
@@ -45,13 +45,13 @@
     return {name: value for name, value in headers.items() if name not in HOP_BY_HOP}
 
 
-def compute_idle_limit(traits, instances):
+def compute_idle_limit(spec, instances):
     """Return how many idle connections this instance may keep to one upstream.
 
     An upstream limits its connections from all instances together and resets the
     excess, so the idle connections of a large fleet could displace those in use.
     """
-    return min(IDLE_LIMIT, max(1, int(traits.connections * MAX_IDLE_PART / instances)))
+    return min(IDLE_LIMIT, max(1, int(spec.connections * MAX_IDLE_PART / instances)))
 
 
 class Attempts:
@@ -79,7 +79,7 @@
         relay.take_buffered()
         relay.pool.record_sent(upstream_state, relay.demand, estimate, now)
         if relay.attempts > 1:
-            self._retries.note_retry(relay.pool.traits.name)
+            self._retries.note_retry(relay.pool.spec.name)
         handlers = CallHandlers(
             head=partial(self._on_head, relay),
             data=partial(self._on_data, relay),
@@ -128,7 +128,7 @@
             probed=False,
             host=relay.headers.get("host", ""),
             idle_limit=idle_limit,
-            idle_most=compute_idle_limit(relay.pool.traits, self._retries.instances),
+            idle_most=compute_idle_limit(relay.pool.spec, self._retries.instances),
             expects=lambda head: self._dialect.belongs_to(
                 head, relay.demand.request_id
             ),
@@ -187,7 +187,7 @@
         if not relay.pool.list_accepting(relay.tried_upstreams):
             return False
         # An attempt that never reached an upstream added no load to the pool.
-        return not relay.attempts or self._retries.may_retry(relay.pool.traits.name)
+        return not relay.attempts or self._retries.may_retry(relay.pool.spec.name)
 
     def _on_data(self, relay, data):
         self._record_start(relay)
--- a/src/chervilwing/balancing.py
+++ b/src/chervilwing/balancing.py
@@ -115,8 +115,8 @@
 class PoolBalancer:
     """State of one pool: its upstreams' loads and their measured speed."""
 
-    def __init__(self, traits, data_centre, rng):
-        self.traits = traits
+    def __init__(self, spec, data_centre, rng):
+        self.spec = spec
         self.upstream_states = {}
         self.caches = PromptCaches()
         self.rate = INITIAL_PREFILL_RATE
@@ -172,13 +172,13 @@
             for name, load in upstream_loads.items()
         }
 
-    def add_reported_prompts(self, placements):
+    def add_reported_prompts(self, cached_prompts):
         """Record where other instances recently sent long prompts."""
-        if self.traits.engine is not None:
+        if self.spec.engine is not None:
             reported = [
-                item for item in placements if item.upstream in self.upstream_states
+                item for item in cached_prompts if item.upstream in self.upstream_states
             ]
-            self.caches.add_reported(reported, self.traits.engine.memory_tokens)
+            self.caches.add_reported(reported, self.spec.engine.memory_tokens)
 
     def remove(self, name):
         """Remove an upstream and return its address, or None if it is unknown."""
@@ -224,7 +224,7 @@
         ``prefixes`` holds the prompt tokens that each upstream probably has cached.
         """
         load = upstream_state.count(now, placing)
-        if self.traits.engine is None:
+        if self.spec.engine is None:
             slots = max(1, upstream_state.registration.slots)
             rounds = (load.requests + 1) / slots
             seconds = self.service_time.estimate(now) * max(1.0, rounds)
@@ -251,7 +251,7 @@
         Return False if the request was not placed by a placer, as the queue lengths are
         not known well enough then.
         """
-        if self.traits.engine is None or not estimate.placer:
+        if self.spec.engine is None or not estimate.placer:
             return False
         limit = max(MIN_QUEUE_LIMIT, shortest * MAX_QUEUE_FRACTION)
         return estimate.queued_tokens / self.rate > limit
@@ -261,7 +261,7 @@
         name = upstream_state.registration.name
         cached = prefixes.tokens.get(name, 0)
         best = next((other for other in prefixes.largest if other != name), None)
-        if not self.traits.engine.link_rate or best is None:
+        if not self.spec.engine.link_rate or best is None:
             return cached, 0, None
         missing = prefixes.tokens[best] - cached
         if missing < MIN_FETCHED_TOKENS:
@@ -269,17 +269,17 @@
         return cached, missing, self.upstream_states[best]
 
     def _estimate_fetch_time(self, tokens):
-        engine = self.traits.engine
+        engine = self.spec.engine
         return FETCH_SETUP_TIME + tokens * engine.token_bytes * 8 / engine.link_rate
 
     def _is_full(self, load, demand):
-        capacity = self.traits.engine.memory_tokens * USABLE_MEMORY_FRACTION
+        capacity = self.spec.engine.memory_tokens * USABLE_MEMORY_FRACTION
         tokens = load.tokens + demand.prompt_tokens + demand.output_tokens
-        return load.requests >= self.traits.engine.slots or tokens > capacity
+        return load.requests >= self.spec.engine.slots or tokens > capacity
 
     def _estimate_slot_wait(self, load):
         """Return roughly the seconds until one of the running requests ends."""
-        return 1.0 + load.requests / self.traits.engine.slots
+        return 1.0 + load.requests / self.spec.engine.slots
 
     def _score(self, upstream_state, estimate, centre, now):
         remote = upstream_state.registration.data_centre != centre
@@ -295,7 +295,7 @@
         may just have sent the subject there. A process that is placing for all
         instances knows where it sent them and assumes nothing.
         """
-        if self.traits.engine is None or len(demand.parts) < 2:
+        if self.spec.engine is None or len(demand.parts) < 2:
             return NO_CACHED_PREFIXES
         shared = demand.parts[:-1]
         counted = (
@@ -348,11 +348,11 @@
         self._record_prompt(upstream_state, demand, now)
 
     def _record_prompt(self, upstream_state, demand, now):
-        if self.traits.engine is not None:
+        if self.spec.engine is not None:
             self.caches.record(
                 upstream_state.registration.name,
                 demand.parts[:-1],
-                self.traits.engine.memory_tokens,
+                self.spec.engine.memory_tokens,
                 now,
             )
 
@@ -375,7 +375,7 @@
             return False
         elapsed = now - sent.at
         tokens = sent.prefill + sent.queued_tokens
-        if self.traits.engine is None:
+        if self.spec.engine is None:
             self.service_time.record(elapsed, now)
         elif tokens >= MIN_MEASURED_TOKENS and elapsed > FIRST_TOKEN_TIME:
             rate = min(
--- a/src/chervilwing/gateway.py
+++ b/src/chervilwing/gateway.py
@@ -115,8 +115,8 @@
         self.table = RoutingTable(document)
         self.limits.update(document.limits)
         self.allowances.configure(document.organisations, read_boottime())
-        for name, traits in self.table.pools.items():
-            self._get_or_create_pool(name).traits = traits
+        for name, spec in self.table.pools.items():
+            self._get_or_create_pool(name).spec = spec
         return True
 
     def put_upstream(self, registration):
@@ -251,7 +251,7 @@
 
     def _make_unavailable_error(self, pool):
         """Return the error for a request that no upstream of the pool can accept."""
-        scope = Scope("pool", pool.traits.name)
+        scope = Scope("pool", pool.spec.name)
         wait = self.upstream_limits.measure_wait(pool.upstream_states)
         if wait is None:
             return NoUpstream(scope=scope, retry_after=RETRY_AFTER)
@@ -261,14 +261,14 @@
         """Return the names of the upstreams to which a request must not be sent."""
         draw = None if relay.attempts else relay.rollout_draw
         pool = relay.pool
-        name = pool.traits.name
+        name = pool.spec.name
         excluded = self.rollouts.list_excluded(name, pool.upstream_states, draw, now)
         return excluded | relay.tried_upstreams if excluded else relay.tried_upstreams
 
     def record_answer(self, relay, failed):
         """Record the first byte or failure of an answer for the version's roll-out."""
         pool, version = (
-            relay.pool.traits.name,
+            relay.pool.spec.name,
             relay.upstream_state.registration.version,
         )
         if not self.rollouts.is_watched(pool):
@@ -306,7 +306,7 @@
             self.refund(relay, now)
             raise
         relay.pool.record_work(relay.demand, choice[1])
-        self.retries.note_first(relay.pool.traits.name)
+        self.retries.note_first(relay.pool.spec.name)
         self._attempts.send(relay, choice)
 
     def refund(self, relay, now):
@@ -351,10 +351,10 @@
 
     def _check_capacity(self, relay, estimate, now):
         """Raise PoolFull if the deadline can't be met or the pool is overloaded."""
-        scope = Scope("pool", relay.pool.traits.name)
+        scope = Scope("pool", relay.pool.spec.name)
         seconds = estimate.seconds
         hopeless = seconds > (relay.deadline - now) * MAX_DEADLINE_PART
-        shortest = self.table.shortest.get(scope.name, float("inf"))
+        shortest = self.table.shortest_latency_targets.get(scope.name, float("inf"))
         if hopeless or relay.pool.is_overloaded(estimate, shortest):
             relay.pool.record_work(relay.demand, estimate)
             raise PoolFull(scope=scope, retry_after=min(seconds, RETRY_AFTER * 4))
--- a/src/chervilwing/gateway_settings.py
+++ b/src/chervilwing/gateway_settings.py
@@ -6,7 +6,7 @@
 
 from .exceptions import BadSetting
 from .models import Address
-from .routing import CallerLimits, PoolTraits
+from .routing import CallerLimits, PoolSpec
 from .settings import (
     LOG_FORMATS,
     LOG_LEVELS,
@@ -70,7 +70,7 @@
     # Distinguishes the successive processes of one instance.
     incarnation: int = 0
     limits: CallerLimits = CallerLimits()
-    plain_pool: PoolTraits = PoolTraits("")
+    plain_pool: PoolSpec = PoolSpec("")
 
 
 def parse_duration(text):
--- a/src/chervilwing/instance_orders.py
+++ b/src/chervilwing/instance_orders.py
@@ -33,13 +33,13 @@
     def _on_tick(self):
         now = read_boottime()
         for name, pool in self._gateway.pools.items():
-            if pool.traits.fleet is not None:
+            if pool.spec.fleet is not None:
                 self._measure(name, pool, now)
         fence = self._coordinator.tenure.fence(now)
         if fence != self._fence:
             self._fence = fence
             for sizing in self._sizings.values():
-                sizing.forget_orders()
+                sizing.reset_orders()
         if fence is None or self._order_pending or now < self._retry_at:
             return
         # Registrations are unknown before; all instances would be ordered a second
@@ -50,13 +50,13 @@
     def _measure(self, name, pool, now):
         sizing = self._sizings.setdefault(name, Sizing())
         totals = {**pool.peer_work, self._cfg.name: (0, pool.work)}
-        sizing.meter.measure(totals, now)
+        sizing.meter.update(totals, now)
 
     def _order_next(self, now):
         for name, sizing in self._sizings.items():
             pool = self._gateway.pools[name]
             members = [item.registration for item in pool.upstream_states.values()]
-            due = sizing.list_due(pool.traits.fleet, members, now)
+            due = sizing.list_due_orders(pool.spec.fleet, members, now)
             if due:
                 self._order(name, sizing, *due[0])
                 return
@@ -89,10 +89,10 @@
         self._order_pending = False
         now = read_boottime()
         if isinstance(reply, Accepted):
-            sizing.note_ordered(kind, count, now)
+            sizing.record_ordered(kind, count, now)
         elif isinstance(reply, Denied):
             log_event("order denied", detail=reply.text, **kind._asdict())
-            sizing.note_denied(kind, now)
+            sizing.record_denied(kind, now)
         elif isinstance(reply, Outdated):
             log_event(
                 "fencing number outdated", fence=self._fence or 0, detail=reply.text
--- a/src/chervilwing/instance_reports.py
+++ b/src/chervilwing/instance_reports.py
@@ -10,7 +10,7 @@
 
 from .crash_records import CrashNews
 from .fingerprints import REPEAT_SIZE
-from .prompt_caches import TOLD_FOR, Placement
+from .prompt_caches import PROMPT_REPORT_SECONDS, CachedPrompt
 from .upstream_states import NO_LOAD, UpstreamLoad, add_loads
 
 # Seconds between two sums of all loads: a leader receives dozens of queries a second,
@@ -43,9 +43,9 @@
     """One process's report of its own state.
 
     ``group`` names the instances that query the same leader. ``usage`` has the counts
-    of requests that aren't stored yet, by window and organisation. ``placements`` are
-    the upstreams to which it recently sent long prompts, ``crashes`` what it recently
-    learned of requests that crash upstreams.
+    of requests that aren't stored yet, by window and organisation. ``cached_prompts``
+    are the upstreams to which it recently sent long prompts, ``crashes`` what it
+    recently learned of requests that crash upstreams.
     """
 
     name: str
@@ -54,7 +54,7 @@
     time_of_day: float
     counts: Counts
     usage: dict[int, dict[str, int]]
-    placements: list[Placement]
+    cached_prompts: list[CachedPrompt]
     crashes: list[CrashNews]
 
 
@@ -62,9 +62,9 @@
     """One process's reply to a report.
 
     ``sums`` are None where it leads no group. ``stored`` are the windows of usage for
-    which it stored the reported counts, ``placements`` the upstreams to which others
-    recently sent long prompts, ``crashes`` what it recently learned of requests that
-    crash upstreams.
+    which it stored the reported counts, ``cached_prompts`` the upstreams to which
+    others recently sent long prompts, ``crashes`` what it recently learned of requests
+    that crash upstreams.
     """
 
     name: str
@@ -72,29 +72,31 @@
     time_of_day: float
     sums: Counts | None
     stored: list[int]
-    placements: list[Placement]
+    cached_prompts: list[CachedPrompt]
     crashes: list[CrashNews]
 
 
-def read_reply(name, incarnation, time_of_day, sums, stored, placements, crashes=()):
+def read_reply(
+    name, incarnation, time_of_day, sums, stored, cached_prompts, crashes=()
+):
     """Return the ReportReply of a datagram; older processes send no crashes."""
     sums = None if sums is None else read_counts(*sums)
-    placements = read_placements(placements)
+    cached_prompts = read_cached_prompts(cached_prompts)
     crashes = read_crash_news(crashes)
     return ReportReply(
-        name, incarnation, time_of_day, sums, stored, placements, crashes
+        name, incarnation, time_of_day, sums, stored, cached_prompts, crashes
     )
 
 
 def read_report(
-    name, incarnation, group, time_of_day, counts, usage, placements, crashes=()
+    name, incarnation, group, time_of_day, counts, usage, cached_prompts, crashes=()
 ):
     """Return the InstanceReport of a datagram; older processes send no crashes."""
     counts = read_counts(*counts)
-    placements = read_placements(placements)
+    cached_prompts = read_cached_prompts(cached_prompts)
     crashes = read_crash_news(crashes)
     return InstanceReport(
-        name, incarnation, group, time_of_day, counts, usage, placements, crashes
+        name, incarnation, group, time_of_day, counts, usage, cached_prompts, crashes
     )
 
 
@@ -108,9 +110,9 @@
     return news
 
 
-def read_placements(values):
-    """Return the Placements decoded from a datagram."""
-    return [Placement(*value) for value in values]
+def read_cached_prompts(values):
+    """Return the CachedPrompts decoded from a datagram."""
+    return [CachedPrompt(*value) for value in values]
 
 
 def read_counts(instances, in_flight, work, answers):
@@ -213,9 +215,9 @@
             before = before if last_incarnation == incarnation else NO_COUNTS
             gap = now - (self._until[reporter] - REPORT_TIMEOUT)
             fraction = REPORT_TIMEOUT / max(REPORT_TIMEOUT, gap)
-            grow(self._work, before.work, counts.work, fraction)
+            add_growth(self._work, before.work, counts.work, fraction)
             # Each answer counts once, however late its report comes.
-            grow(self._answers, before.answers, counts.answers, 1.0)
+            add_growth(self._answers, before.answers, counts.answers, 1.0)
         self._last_reports[reporter] = (incarnation, counts)
         self._until[reporter] = now + REPORT_TIMEOUT
 
@@ -234,7 +236,7 @@
         return self._loads._replace(work=dict(self._work), answers=dict(self._answers))
 
 
-def grow(total, before, now, fraction):
+def add_growth(total, before, now, fraction):
     """Add to ``total`` a fraction of the difference between two reports.
 
     A reordered older report subtracts what the next report adds again.
@@ -244,18 +246,18 @@
         total[name] = total.get(name, 0.0) + gained * fraction
 
 
-class Placements:
+class CachedPrompts:
     """Upstreams to which others recently sent long prompts; times are seconds."""
 
     def __init__(self):
         self._until = {}
 
-    def hear(self, placements, now):
-        """Record reported placements; repeated reports don't extend their lifetime."""
-        for placement in placements:
-            self._until.setdefault(placement, now + TOLD_FOR)
+    def record(self, cached_prompts, now):
+        """Record reported prompts; repeated reports don't extend their lifetime."""
+        for cached_prompt in cached_prompts:
+            self._until.setdefault(cached_prompt, now + PROMPT_REPORT_SECONDS)
 
-    def list(self, now):
-        """Return the recent placements."""
+    def list_recent(self, now):
+        """Return the recent cached prompts."""
         self._until = {item: at for item, at in self._until.items() if now < at}
         return list(self._until)
--- a/src/chervilwing/placer_selection.py
+++ b/src/chervilwing/placer_selection.py
@@ -88,7 +88,7 @@
     demand = relay.demand
     return Ask(
         number,
-        relay.pool.traits.name,
+        relay.pool.spec.name,
         cfg.data_centre,
         demand.prompt_tokens,
         demand.output_tokens,
--- a/src/chervilwing/platform/documents.py
+++ b/src/chervilwing/platform/documents.py
@@ -14,10 +14,10 @@
     NON_IDEMPOTENT,
     STREAM,
     CallerLimits,
-    EngineTraits,
-    FleetTraits,
+    EngineSpec,
+    FleetSpec,
     Organisation,
-    PoolTraits,
+    PoolSpec,
     Route,
     RoutingDocument,
     Target,
@@ -57,9 +57,9 @@
 
 
 def read_pool(value):
-    """Return the PoolTraits of an entry of ``services``."""
+    """Return the PoolSpec of an entry of ``services``."""
     engine, scale = value.get("engine"), value.get("scale")
-    return PoolTraits(
+    return PoolSpec(
         value["name"],
         value.get("maxConns", 64),
         read_engine(engine) if engine else None,
@@ -68,8 +68,8 @@
 
 
 def read_engine(value):
-    """Return the EngineTraits of ``engine``."""
-    return EngineTraits(
+    """Return the EngineSpec of ``engine``."""
+    return EngineSpec(
         value["slots"],
         value["kvCapacity"],
         value.get("kvTokenBytes", 0.0),
@@ -78,8 +78,8 @@
 
 
 def read_fleet(value):
-    """Return the FleetTraits of ``scale``; ``min`` and ``max`` are per data centre."""
-    return FleetTraits(
+    """Return the FleetSpec of ``scale``; ``min`` and ``max`` are per data centre."""
+    return FleetSpec(
         value["min"],
         value["max"],
         value.get("bootTimeS", 0.0),
--- a/src/chervilwing/prompt_caches.py
+++ b/src/chervilwing/prompt_caches.py
@@ -14,13 +14,13 @@
 MIN_REPORTED_TOKENS = 1000
 # Seconds for which a sent prompt is reported: enough for two exchanges in each of two
 # groups and a lost one.
-TOLD_FOR = 1.5
+PROMPT_REPORT_SECONDS = 1.5
 # Fraction of an engine's memory assumed to hold parts that later requests share; the
 # rest holds the own parts of single requests and generated tokens.
 SHARED_FRACTION = 0.5
 
 
-class Placement(NamedTuple):
+class CachedPrompt(NamedTuple):
     """The leading parts of a prompt that was sent to an upstream.
 
     ``part`` is the name of the last of these parts, ``tokens`` the token count of all.
@@ -45,12 +45,12 @@
             self._add_part(upstream, part.name, part.tokens, memory_tokens)
         tokens = sum(part.tokens for part in parts)
         if tokens >= MIN_REPORTED_TOKENS:
-            self._recent.append((now, Placement(upstream, parts[-1].name, tokens)))
+            self._recent.append((now, CachedPrompt(upstream, parts[-1].name, tokens)))
 
-    def add_reported(self, placements, memory_tokens):
+    def add_reported(self, cached_prompts, memory_tokens):
         """Record what other instances recently sent; repeated reports are harmless."""
-        for placement in placements:
-            self._add_part(*placement, memory_tokens)
+        for cached_prompt in cached_prompts:
+            self._add_part(*cached_prompt, memory_tokens)
 
     def remove_upstream(self, upstream):
         """Remove an upstream that is gone, as its cache is gone too."""
@@ -58,10 +58,10 @@
         self._sizes.pop(upstream, None)
 
     def list_recent(self, now):
-        """Return the recent Placements to report to other instances."""
-        while self._recent and now - self._recent[0][0] > TOLD_FOR:
+        """Return the recent CachedPrompts to report to other instances."""
+        while self._recent and now - self._recent[0][0] > PROMPT_REPORT_SECONDS:
             self._recent.popleft()
-        return [placement for _, placement in self._recent]
+        return [cached_prompt for _, cached_prompt in self._recent]
 
     def count_cached(self, upstream, parts):
         """Return how many leading tokens of these parts an upstream has cached.
--- a/src/chervilwing/report_exchange.py
+++ b/src/chervilwing/report_exchange.py
@@ -11,9 +11,9 @@
 from .instance_reports import (
     REPORT_TIMEOUT,
     SUM_INTERVAL,
+    CachedPrompts,
     Counts,
     InstanceReport,
-    Placements,
     ReportReply,
     ReportSums,
     add_counts,
@@ -91,7 +91,10 @@
         # Queries to each other group; used while this instance leads.
         self._others = {}
         self._group_sums, self._other_sums = ReportSums(), ReportSums()
-        self._group_placements, self._other_placements = Placements(), Placements()
+        self._group_cached_prompts, self._other_cached_prompts = (
+            CachedPrompts(),
+            CachedPrompts(),
+        )
         self._applied_at = float("-inf")
         # The report sent with the last query to each group.
         self._sent_reports = {}
@@ -244,11 +247,11 @@
             time.time(),
             counts,
             self._parts.list_unstored(),
-            self._list_placements(),
+            self._list_cached_prompts(),
             self._gateway.crashes.list_told(read_boottime()),
         )
 
-    def _list_placements(self):
+    def _list_cached_prompts(self):
         """Return the upstreams to which this instance recently sent long prompts."""
         now = read_boottime()
         pools = self._gateway.pools.values()
@@ -268,7 +271,7 @@
             self._group_sums.add_report(
                 report.name, report.incarnation, report.counts, now
             )
-            self._group_placements.hear(report.placements, now)
+            self._group_cached_prompts.record(report.cached_prompts, now)
         news = sums = None
         if revisions is not None and self._shares_store_state:
             news = self._coordinator.list_news(revisions, now)
@@ -278,9 +281,9 @@
             )
         at = self._parts.read_time()
         stored = self._parts.list_stored(report)
-        placements = self._group_placements.list(now)
+        cached_prompts = self._group_cached_prompts.list_recent(now)
         if same_group:
-            placements += self._other_placements.list(now)
+            cached_prompts += self._other_cached_prompts.list_recent(now)
         crashes = self._gateway.crashes.list_told(now)
         reply = ReportReply(
             self._cfg.name,
@@ -288,7 +291,7 @@
             at,
             sums,
             stored,
-            placements,
+            cached_prompts,
             crashes,
         )
         fields = (number, group, self._leader.target or "", news, reply)
@@ -316,7 +319,7 @@
             self._coordinator.apply_news(news, query.at, now)
         reply = read_reply(*reply)
         report = self._sent_reports[group]
-        self._apply_placements(reply.placements)
+        self._apply_cached_prompts(reply.cached_prompts)
         self._apply_crashes(reply.crashes, now)
         self._parts.mark_stored(report, reply.stored)
         if fanout is self._fallback:
@@ -331,7 +334,7 @@
             self._apply_sums((reply.name, reply.incarnation), others, now)
         else:
             self._agreed_time.add_sample(reply.name, reply.time_of_day, now)
-            self._other_placements.hear(reply.placements, now)
+            self._other_cached_prompts.record(reply.cached_prompts, now)
             self._other_sums.add_report(
                 (group, reply.name), reply.incarnation, reply.sums, now
             )
@@ -345,9 +348,9 @@
         for news in crashes:
             self._gateway.crashes.hear(news, now, same_group)
 
-    def _apply_placements(self, placements):
+    def _apply_cached_prompts(self, cached_prompts):
         for pool in self._gateway.pools.values():
-            pool.add_reported_prompts(placements)
+            pool.add_reported_prompts(cached_prompts)
 
     def _find_fanout(self, group):
         if group == FALLBACK:
@@ -360,8 +363,8 @@
             return
         self._applied_at = now
         report = self._make_report()
-        self._group_placements.hear(report.placements, now)
-        self._apply_placements(self._group_placements.list(now))
+        self._group_cached_prompts.record(report.cached_prompts, now)
+        self._apply_cached_prompts(self._group_cached_prompts.list_recent(now))
         self._parts.add_report(report, same_group=True)
         self._group_sums.add_report(report.name, report.incarnation, report.counts, now)
         source = (self._cfg.name, self._cfg.incarnation)
--- a/src/chervilwing/rollouts.py
+++ b/src/chervilwing/rollouts.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from .exceptions import BadConfiguration
-from .instance_reports import grow
+from .instance_reports import add_growth
 from .store_calls import Commit
 
 DECISIONS = "chervilwing/instances-rollouts/"
@@ -313,7 +313,7 @@
         last_source, last_answers = self._last_report
         self._last_report = (source, answers)
         if source == last_source:
-            grow(self.heard, last_answers, answers, 1.0)
+            add_growth(self.heard, last_answers, answers, 1.0)
 
     def note_answer(self, pool, version, route, bad):
         """Count one answer of a version; ``bad`` if it failed or was too slow."""
--- a/src/chervilwing/routing.py
+++ b/src/chervilwing/routing.py
@@ -68,7 +68,7 @@
     plain_cost: float = 0.0
 
 
-class EngineTraits(NamedTuple):
+class EngineSpec(NamedTuple):
     """Capacity of each engine of a pool.
 
     ``slots`` is the number of concurrent requests, ``memory_tokens`` the tokens that
@@ -83,23 +83,23 @@
     link_rate: float = 0.0
 
 
-class FleetTraits(NamedTuple):
+class FleetSpec(NamedTuple):
     """Limits and prices of the instances of a pool.
 
-    ``minimum`` and ``maximum`` are the numbers of instances per data centre, ``boot``
-    is their boot time in seconds, ``prices`` holds the price of an instance second by
-    data centre, and ``reclaimable_price`` the fraction of it that a reclaimable one
-    costs.
+    ``minimum`` and ``maximum`` are the numbers of instances per data centre,
+    ``boot_time`` is their boot time in seconds, ``prices`` holds the price of an
+    instance second by data centre, and ``reclaimable_price`` the fraction of it that a
+    reclaimable one costs.
     """
 
     minimum: int
     maximum: int
-    boot: float
+    boot_time: float
     reclaimable_price: float
     prices: dict[str, float]
 
 
-class PoolTraits(NamedTuple):
+class PoolSpec(NamedTuple):
     """A pool of interchangeable upstreams.
 
     ``connections`` is the number of connections to one upstream by all instances.
@@ -107,8 +107,8 @@
 
     name: str
     connections: int = 64
-    engine: EngineTraits | None = None
-    fleet: FleetTraits | None = None
+    engine: EngineSpec | None = None
+    fleet: FleetSpec | None = None
 
 
 class CallerLimits(NamedTuple):
@@ -125,7 +125,7 @@
 
     version: int
     routes: tuple[Route, ...] = ()
-    pools: tuple[PoolTraits, ...] = ()
+    pools: tuple[PoolSpec, ...] = ()
     organisations: tuple[Organisation, ...] = ()
     limits: CallerLimits = CallerLimits()
 
@@ -140,11 +140,15 @@
         for route in document.routes:
             self._hosts.setdefault(route.host, {})[route.prefix] = route
         # The shortest latency target of all routes to each pool, in seconds.
-        self.shortest = {}
+        self.shortest_latency_targets = {}
         for route in document.routes:
             for target in route.targets:
-                shortest = self.shortest.get(target.pool, route.latency_target)
-                self.shortest[target.pool] = min(shortest, route.latency_target)
+                shortest = self.shortest_latency_targets.get(
+                    target.pool, route.latency_target
+                )
+                self.shortest_latency_targets[target.pool] = min(
+                    shortest, route.latency_target
+                )
         self._keys = {
             key: organisation
             for organisation in document.organisations
--- a/src/chervilwing/routing_files.py
+++ b/src/chervilwing/routing_files.py
@@ -10,9 +10,9 @@
     NON_IDEMPOTENT,
     STREAM,
     CallerLimits,
-    EngineTraits,
+    EngineSpec,
     Organisation,
-    PoolTraits,
+    PoolSpec,
     Route,
     RoutingDocument,
     Target,
@@ -41,9 +41,9 @@
 
 
 def read_pool(value):
-    """Return the PoolTraits of an entry of ``[[pools]]``; ``engine`` is a subtable."""
+    """Return the PoolSpec of an entry of ``[[pools]]``; ``engine`` is a subtable."""
     engine = value.pop("engine", None)
-    return PoolTraits(engine=EngineTraits(**engine) if engine else None, **value)
+    return PoolSpec(engine=EngineSpec(**engine) if engine else None, **value)
 
 
 def read_organisation(value):
--- a/src/chervilwing/sizing.py
+++ b/src/chervilwing/sizing.py
@@ -18,7 +18,7 @@
 HEADROOM = 1.8
 # Engines per engine second of work per second below which callers wait, so that
 # on-demand instances are ordered at once.
-SHORT = 1.3
+MIN_HEADROOM = 1.3
 # Fewest engines in a data centre: a single one is lost with each crash or release.
 MIN_PER_CENTRE = 2
 # Fewest engines that may remain while on-demand instances boot.
@@ -57,7 +57,7 @@
 PEAK_WINDOW = 8.0
 
 
-class Kind(NamedTuple):
+class InstanceKind(NamedTuple):
     """Instances of one pool that are ordered together; on-demand if not reclaimable."""
 
     data_centre: str
@@ -75,7 +75,7 @@
         self._count = 0
         self._peaks = deque()
 
-    def measure(self, totals, now):
+    def update(self, totals, now):
         """Update the rate from the work totals of all instances.
 
         ``totals`` maps an instance's name to its start time and its total since then.
@@ -128,14 +128,14 @@
         self._ordered = {}
         self._refusals = {}
 
-    def forget_orders(self):
+    def reset_orders(self):
         """Forget all orders, so that they are given again.
 
         Another instance may have given different orders in the meantime.
         """
         self._ordered = {}
 
-    def note_denied(self, kind, now):
+    def record_denied(self, kind, now):
         """Record that an order was refused because none are available."""
         self._refusals[kind] = self._refusals.get(kind, 0) + 1
         wait = DENIED_WAIT * 2 ** (self._refusals[kind] - 1)
@@ -144,13 +144,13 @@
             self._scarce_until = now + SCARCITY_TIME
         self._ordered.pop(kind, None)
 
-    def note_ordered(self, kind, count, now):
+    def record_ordered(self, kind, count, now):
         """Record that an order was accepted."""
         self._ordered[kind] = (count, now)
         self._refusals.pop(kind, None)
 
     def plan(self, fleet, registrations, now):
-        """Return the number of instances to have, by Kind."""
+        """Return the number of instances to have, by InstanceKind."""
         present = count_present(registrations)
         self._check_notices(registrations, now)
         centres = sorted(fleet.prices, key=fleet.prices.get)
@@ -159,12 +159,18 @@
         wanted = max(MIN_PER_CENTRE * len(centres), wanted)
         if not self.meter.is_settled(now):
             wanted = max(wanted, ceil(fleet.maximum * len(centres) * INITIAL_FRACTION))
-        plan = {Kind(centre, kind): 0 for kind in (False, True) for centre in centres}
+        plan = {
+            InstanceKind(centre, kind): 0
+            for kind in (False, True)
+            for centre in centres
+        }
         distribute(plan, centres, wanted, True, fleet.maximum)
         on_demand = self._count_on_demand(present, rate, now)
         distribute(plan, centres, on_demand, False, fleet.maximum)
         for centre in centres:
-            apply_limits(plan, centre, fleet, present.get(Kind(centre, True), 0))
+            apply_limits(
+                plan, centre, fleet, present.get(InstanceKind(centre, True), 0)
+            )
         return plan
 
     def _count_on_demand(self, present, rate, now):
@@ -181,7 +187,7 @@
         remaining = sum(centres.values())
         if now < self._scarce_until:
             remaining -= max(centres.values(), default=0)
-        needed = max(MIN_INSTANCES, ceil(rate * SHORT))
+        needed = max(MIN_INSTANCES, ceil(rate * MIN_HEADROOM))
         self._shortfalls.append((now, max(0, needed - remaining)))
         while now - self._shortfalls[0][0] > KEEP_ON_DEMAND_FOR:
             self._shortfalls.popleft()
@@ -191,26 +197,26 @@
         if any(item.leaving and item.reclaimable for item in registrations):
             self._scarce_until = now + SCARCITY_TIME
 
-    def list_due(self, fleet, registrations, now):
-        """Return the orders to give now, as a list of pairs of Kind and count."""
+    def list_due_orders(self, fleet, registrations, now):
+        """Return the orders to give now, as pairs of InstanceKind and count."""
         present = count_present(registrations)
         due = []
         for kind, count in self.plan(fleet, registrations, now).items():
             if now < self._denied_until.get(kind, 0.0):
                 continue
             ordered, at = self._ordered.get(kind, (None, 0.0))
-            overdue = now - at > fleet.boot + REPEAT_ORDER_AFTER
+            overdue = now - at > fleet.boot_time + REPEAT_ORDER_AFTER
             if count != ordered or (overdue and present.get(kind, 0) != count):
                 due.append((kind, count))
         return due
 
 
 def count_present(registrations):
-    """Return the number of instances that are not leaving, by Kind."""
+    """Return the number of instances that are not leaving, by InstanceKind."""
     present = {}
     for item in registrations:
         if not item.leaving:
-            kind = Kind(item.data_centre, item.reclaimable)
+            kind = InstanceKind(item.data_centre, item.reclaimable)
             present[kind] = present.get(kind, 0) + 1
     return present
 
@@ -221,7 +227,7 @@
     No data centre gets more than ``maximum`` of them.
     """
     for number in range(count):
-        kind = Kind(centres[number % len(centres)], reclaimable)
+        kind = InstanceKind(centres[number % len(centres)], reclaimable)
         if plan[kind] < maximum:
             plan[kind] += 1
 
@@ -234,7 +240,7 @@
     ordered up to the maximum, all serving reclaimable instances were released and for
     four seconds there were none.
     """
-    on_demand, reclaimable = Kind(centre, False), Kind(centre, True)
+    on_demand, reclaimable = InstanceKind(centre, False), InstanceKind(centre, True)
     plan[on_demand] = min(plan[on_demand], max(0, fleet.maximum - remaining))
     plan[reclaimable] = min(plan[reclaimable], fleet.maximum - plan[on_demand])
     missing = fleet.minimum - plan[on_demand] - plan[reclaimable]
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -13,7 +13,7 @@
     STREAM,
     CallerLimits,
     Organisation,
-    PoolTraits,
+    PoolSpec,
     Route,
     RoutingDocument,
     Target,
@@ -72,7 +72,7 @@
 
 def make_document(version=1, **changes):
     """Return a routing document with ROUTES and one pool, ``web``."""
-    pools = (PoolTraits("web"),)
+    pools = (PoolSpec("web"),)
     document = RoutingDocument(version, ROUTES, pools, ORGANISATIONS, CallerLimits())
     return document._replace(**changes)
 
--- a/tests/outdated_loads.py
+++ b/tests/outdated_loads.py
@@ -15,10 +15,10 @@
 from chervilwing.demands import Demand, PromptPart
 from chervilwing.models import Address
 from chervilwing.registrations import Registration
-from chervilwing.routing import EngineTraits, PoolTraits
+from chervilwing.routing import EngineSpec, PoolSpec
 from chervilwing.upstream_states import UpstreamLoad
 
-TRAITS = PoolTraits("engines", engine=EngineTraits(64, 372_000))
+SPEC = PoolSpec("engines", engine=EngineSpec(64, 372_000))
 # Prompt tokens per second that an engine reads while it also generates.
 ENGINE_RATE = 36_000.0
 TOKEN_SECONDS = 0.009
@@ -107,7 +107,7 @@
         self._queue = []
 
     def _make_pool(self, seed):
-        pool = PoolBalancer(TRAITS, "a", random.Random(seed))
+        pool = PoolBalancer(SPEC, "a", random.Random(seed))
         for number, name in enumerate(self.engines):
             address = Address("10.0.0.1", number)
             pool.put_upstream(Registration(name, "engines", address, "a", 64))
--- a/tests/placing_fleet.py
+++ b/tests/placing_fleet.py
@@ -16,12 +16,12 @@
 from chervilwing.models import Address
 from chervilwing.placement_exchange import Placing
 from chervilwing.registrations import Registration
-from chervilwing.routing import EngineTraits, PoolTraits
+from chervilwing.routing import EngineSpec, PoolSpec
 from chervilwing.upstream_limits import UpstreamLimits
 from tests.gateways import make_settings
 
 CENTRES = ("a", "b", "c")
-TRAITS = PoolTraits("engines", engine=EngineTraits(64, 372_000))
+SPEC = PoolSpec("engines", engine=EngineSpec(64, 372_000))
 TICK = 0.05
 # Seconds from sending a request until its prompt is read, and until its answer ends.
 READ_TIME = 0.1
@@ -59,7 +59,7 @@
             incarnation=next(fleet.order) * BETWEEN_STARTS,
         )
         self.upstream_limits = UpstreamLimits(Allowances())
-        self.pools = {"engines": PoolBalancer(TRAITS, self.cfg.data_centre, fleet.rng)}
+        self.pools = {"engines": PoolBalancer(SPEC, self.cfg.data_centre, fleet.rng)}
         for number in range(engines):
             self.put(f"u{number}", leaving=False)
         self.datagrams = FakeDatagrams(fleet, name)
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -9,19 +9,19 @@
 from chervilwing.hashing import Ring
 from chervilwing.models import Address
 from chervilwing.registrations import Registration
-from chervilwing.routing import EngineTraits, PoolTraits
+from chervilwing.routing import EngineSpec, PoolSpec
 from chervilwing.upstream_states import UpstreamLoad
 
-ENGINES = PoolTraits("engines", engine=EngineTraits(64, 400_000))
-PAGES = PoolTraits("pages")
+ENGINES = PoolSpec("engines", engine=EngineSpec(64, 400_000))
+PAGES = PoolSpec("pages")
 
 
-def make_pool(traits, count=5, data_centre="a"):
+def make_pool(spec, count=5, data_centre="a"):
     """Return a pool with ``count`` upstreams, all in data centre a."""
-    pool = PoolBalancer(traits, data_centre, random.Random(1))
+    pool = PoolBalancer(spec, data_centre, random.Random(1))
     for number in range(count):
         address = Address("10.0.0.1", number)
-        pool.put_upstream(Registration(f"u{number}", traits.name, address, "a", 64))
+        pool.put_upstream(Registration(f"u{number}", spec.name, address, "a", 64))
     return pool
 
 
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -14,7 +14,7 @@
 from bench.market import Market
 from bench.stepping import Run, SteppingEngine
 from chervilwing.demands import PromptPart
-from chervilwing.sizing import Kind
+from chervilwing.sizing import InstanceKind
 
 RANGES = read_ranges()
 SHORT = RANGES | {"seconds": 10.0, "work": [0.8, 0.8]}
@@ -61,17 +61,17 @@
         self.market = Market(
             self.clock, self.deployment, lambda item, gone: self.told.append(item)
         )
-        self.market.start({Kind("a", True): 2, Kind("b", True): 1})
+        self.market.start({InstanceKind("a", True): 2, InstanceKind("b", True): 1})
 
     def test_a_wave_takes_one_place_and_dries_the_market(self):
         self.market.reclaim(Wave(0.0, "a", notice=2.0, dry=10.0))
-        self.assertFalse(self.market.order(Kind("c", True), 1))
-        self.assertTrue(self.market.order(Kind("c", False), 1))
+        self.assertFalse(self.market.order(InstanceKind("c", True), 1))
+        self.assertTrue(self.market.order(InstanceKind("c", False), 1))
         self.clock.run(11.0)
-        self.assertTrue(self.market.order(Kind("c", True), 1))
+        self.assertTrue(self.market.order(InstanceKind("c", True), 1))
         kinds = [member.kind for member in self.market.members.values()]
-        self.assertNotIn(Kind("a", True), kinds)
-        self.assertIn(Kind("b", True), kinds)
+        self.assertNotIn(InstanceKind("a", True), kinds)
+        self.assertIn(InstanceKind("b", True), kinds)
 
     def test_what_is_there_is_paid_for(self):
         self.clock.run(10.0)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,7 +8,7 @@
 
 from chervilwing.attempts import compute_idle_limit
 from chervilwing.platform.headers import DIALECT
-from chervilwing.routing import Organisation, PoolTraits
+from chervilwing.routing import Organisation, PoolSpec
 from tests.gateways import GatewayRun, make_document
 from tests.procs import Caller, poll
 
@@ -188,9 +188,9 @@
         self.assertNotIn("content-length", response.headers)
 
     def test_an_instance_keeps_fewer_idle_connections_in_a_larger_fleet(self):
-        traits = PoolTraits("web", connections=470)
+        spec = PoolSpec("web", connections=470)
         for instances, expected in ((7, 8), (68, 2), (320, 1)):
-            self.assertEqual(compute_idle_limit(traits, instances), expected)
+            self.assertEqual(compute_idle_limit(spec, instances), expected)
 
 
 class TestRefusals(GatewayCase):
--- a/tests/test_prompt_caches.py
+++ b/tests/test_prompt_caches.py
@@ -6,30 +6,30 @@
 from chervilwing.balancing import PoolBalancer
 from chervilwing.demands import Demand, PromptPart
 from chervilwing.dialects import AttemptContext
-from chervilwing.instance_reports import Placements
+from chervilwing.instance_reports import CachedPrompts
 from chervilwing.models import Address
 from chervilwing.platform.headers import FETCH, write_headers
 from chervilwing.prompt_caches import (
     MIN_REPORTED_TOKENS,
-    TOLD_FOR,
-    Placement,
+    PROMPT_REPORT_SECONDS,
+    CachedPrompt,
     PromptCaches,
 )
 from chervilwing.registrations import Registration
-from chervilwing.routing import EngineTraits, PoolTraits
+from chervilwing.routing import EngineSpec, PoolSpec
 
 MEMORY = 500_000
 # 18 KB a token over 370 Gbit/s: 5,000 tokens take 2 ms.
-FETCHING = PoolTraits("engines", engine=EngineTraits(64, MEMORY, 18_432.0, 3.7e11))
+FETCHING = PoolSpec("engines", engine=EngineSpec(64, MEMORY, 18_432.0, 3.7e11))
 HISTORY = (PromptPart("all", 500), PromptPart("history", 5000))
 
 
-def make_pool(traits=FETCHING, seed=1):
+def make_pool(spec=FETCHING, seed=1):
     """Return one instance's pool of four engines."""
-    pool = PoolBalancer(traits, "a", random.Random(seed))
+    pool = PoolBalancer(spec, "a", random.Random(seed))
     for number in range(4):
         address = Address("10.0.0.1", number)
-        pool.put_upstream(Registration(f"u{number}", traits.name, address, "a", 64))
+        pool.put_upstream(Registration(f"u{number}", spec.name, address, "a", 64))
     return pool
 
 
@@ -61,16 +61,16 @@
     def test_prompts_sent_by_other_instances_count(self):
         # Two instances get requests about one history within seconds. Without reports,
         # the second would have it read again at another engine.
-        self.caches.add_reported([Placement("u2", "history", 5500)], MEMORY)
+        self.caches.add_reported([CachedPrompt("u2", "history", 5500)], MEMORY)
         self.assertEqual(self.caches.count_cached("u2", HISTORY), 5500)
 
     def test_only_recent_long_prompts_are_reported(self):
         short = (PromptPart("all", MIN_REPORTED_TOKENS - 1),)
         self.caches.record("u0", short, MEMORY, 0.0)
         self.caches.record("u0", HISTORY, MEMORY, 0.0)
-        reported = [Placement("u0", "history", 5500)]
-        self.assertEqual(self.caches.list_recent(TOLD_FOR / 2), reported)
-        self.assertEqual(self.caches.list_recent(TOLD_FOR + 0.1), [])
+        reported = [CachedPrompt("u0", "history", 5500)]
+        self.assertEqual(self.caches.list_recent(PROMPT_REPORT_SECONDS / 2), reported)
+        self.assertEqual(self.caches.list_recent(PROMPT_REPORT_SECONDS + 0.1), [])
 
     def test_the_least_recently_used_parts_are_dropped_first(self):
         # An engine evicts old cache entries. If the record kept them, requests would go
@@ -94,14 +94,14 @@
 class TestPlacements(unittest.TestCase):
     def test_repeated_reports_do_not_extend_a_placement(self):
         # Group leaders pass on the reports that they receive. If each copy restarted
-        # the time, a placement would be reported forever.
-        placements = Placements()
-        item = Placement("u0", "history", 5500)
-        for tenth in range(int(TOLD_FOR * 10) + 2):
-            placements.hear([item], tenth / 10)
-            if tenth / 10 < TOLD_FOR:
-                self.assertEqual(placements.list(tenth / 10), [item])
-        self.assertEqual(placements.list(TOLD_FOR + 0.2), [])
+        # the time, a prompt would be reported forever.
+        cached_prompts = CachedPrompts()
+        item = CachedPrompt("u0", "history", 5500)
+        for tenth in range(int(PROMPT_REPORT_SECONDS * 10) + 2):
+            cached_prompts.record([item], tenth / 10)
+            if tenth / 10 < PROMPT_REPORT_SECONDS:
+                self.assertEqual(cached_prompts.list_recent(tenth / 10), [item])
+        self.assertEqual(cached_prompts.list_recent(PROMPT_REPORT_SECONDS + 0.2), [])
 
 
 class TestFetching(unittest.TestCase):
@@ -125,7 +125,7 @@
             self.assertEqual(estimate.prefill, 9000)
 
     def test_no_fetch_is_planned_without_a_link_rate(self):
-        pool = make_pool(PoolTraits("engines", engine=EngineTraits(64, MEMORY)))
+        pool = make_pool(PoolSpec("engines", engine=EngineSpec(64, MEMORY)))
         for number in range(7):
             _, estimate = send(pool, make_demand(f"r{number}", 9000))
             self.assertIsNone(estimate.source)
@@ -136,7 +136,7 @@
         demand = make_demand("r0")
         owner = pool.choose(demand, (), 0.0)[0].registration.name
         holder = next(name for name in pool.upstream_states if name != owner)
-        pool.add_reported_prompts([Placement(holder, "history", 5500)])
+        pool.add_reported_prompts([CachedPrompt(holder, "history", 5500)])
         estimate = pool.estimate(
             pool.upstream_states[owner],
             demand,
@@ -169,7 +169,7 @@
 
     def test_reports_about_a_removed_upstream_are_ignored(self):
         pool = make_pool()
-        pool.add_reported_prompts([Placement("gone", "history", 5500)])
+        pool.add_reported_prompts([CachedPrompt("gone", "history", 5500)])
         self.assertEqual(pool.caches.count_cached("gone", HISTORY), 0)
 
     def test_a_source_named_by_the_caller_is_removed(self):
--- a/tests/test_sizing.py
+++ b/tests/test_sizing.py
@@ -4,19 +4,19 @@
 
 from chervilwing.models import Address
 from chervilwing.registrations import Registration
-from chervilwing.routing import FleetTraits
+from chervilwing.routing import FleetSpec
 from chervilwing.sizing import (
     DENIED_WAIT,
     KEEP_ON_DEMAND_FOR,
     MAX_DENIED_WAIT,
     PEAK_WINDOW,
     SETTLE_TIME,
-    Kind,
+    InstanceKind,
     Sizing,
     WorkMeter,
 )
 
-FLEET = FleetTraits(1, 3, 4.0, 0.22, {"a": 0.85, "b": 1.2, "c": 1.0})
+FLEET = FleetSpec(1, 3, 4.0, 0.22, {"a": 0.85, "b": 1.2, "c": 1.0})
 CENTRES = tuple("abc")
 
 
@@ -50,8 +50,8 @@
     def setUp(self):
         self.sizing = Sizing()
         # The work has been measured for long enough to be trusted.
-        self.sizing.meter.measure({"one": (1, 0.0)}, -2 * SETTLE_TIME)
-        self.sizing.meter.measure({"one": (1, 0.1)}, -2 * SETTLE_TIME + 1)
+        self.sizing.meter.update({"one": (1, 0.0)}, -2 * SETTLE_TIME)
+        self.sizing.meter.update({"one": (1, 0.1)}, -2 * SETTLE_TIME + 1)
         self.sizing.meter.rate = 1.3
 
     def plan(self, members, now=0.0):
@@ -89,7 +89,7 @@
         calm = Sizing()
         calm.meter = self.sizing.meter
         self.assertEqual(count(calm.plan(FLEET, members, 1.0), False), 0)
-        self.sizing.note_denied(Kind("b", True), 0.0)
+        self.sizing.record_denied(InstanceKind("b", True), 0.0)
         self.assertGreaterEqual(count(self.plan(members, 1.0), False), 1)
 
     def test_on_demand_instances_are_released_once_scarcity_ends(self):
@@ -102,28 +102,30 @@
         self.assertEqual(count(self.plan(members, 3 * KEEP_ON_DEMAND_FOR), False), 0)
 
     def test_a_refused_kind_is_not_ordered_again_for_a_while(self):
-        kind = Kind("b", True)
-        self.sizing.note_denied(kind, 0.0)
-        due = dict(self.sizing.list_due(FLEET, make_members(), DENIED_WAIT / 2))
+        kind = InstanceKind("b", True)
+        self.sizing.record_denied(kind, 0.0)
+        due = dict(self.sizing.list_due_orders(FLEET, make_members(), DENIED_WAIT / 2))
         self.assertNotIn(kind, due)
-        due = dict(self.sizing.list_due(FLEET, make_members(), DENIED_WAIT * 1.1))
+        due = dict(
+            self.sizing.list_due_orders(FLEET, make_members(), DENIED_WAIT * 1.1)
+        )
         self.assertIn(kind, due)
 
     def test_repeated_refusals_increase_the_wait(self):
         # For twenty seconds no instances are available, and each order costs money.
-        kind, asked, now = Kind("b", True), 0, 0.0
+        kind, asked, now = InstanceKind("b", True), 0, 0.0
         while now < 30.0:
-            if kind in dict(self.sizing.list_due(FLEET, make_members(), now)):
-                self.sizing.note_denied(kind, now)
+            if kind in dict(self.sizing.list_due_orders(FLEET, make_members(), now)):
+                self.sizing.record_denied(kind, now)
                 asked += 1
             now += 0.05
         self.assertLessEqual(asked, 1 + 30.0 / MAX_DENIED_WAIT + 1)
 
     def order_all(self, members, now):
         """Record every order that is due as accepted; return the orders."""
-        due = self.sizing.list_due(FLEET, members, now)
+        due = self.sizing.list_due_orders(FLEET, members, now)
         for kind, number in due:
-            self.sizing.note_ordered(kind, number, now)
+            self.sizing.record_ordered(kind, number, now)
         return due
 
     def test_an_order_is_repeated_only_if_it_has_no_effect(self):
@@ -134,13 +136,13 @@
         self.assertTrue(self.order_all(members, 0.0))
         self.assertEqual(self.order_all(members, 20.0), [])
         fewer = [item for item in members if item.data_centre != "b"]
-        self.assertEqual(self.order_all(fewer, 20.0), [(Kind("b", True), 2)])
+        self.assertEqual(self.order_all(fewer, 20.0), [(InstanceKind("b", True), 2)])
         self.assertEqual(self.order_all(fewer, 21.0), [])
 
     def test_a_new_holder_of_the_duties_gives_all_orders_again(self):
         members = make_members()
         self.order_all(members, 0.0)
-        self.sizing.forget_orders()
+        self.sizing.reset_orders()
         self.assertEqual(len(self.order_all(members, 1.0)), 6)
 
     def test_on_demand_instances_never_displace_serving_ones(self):
@@ -148,10 +150,10 @@
         # more is required than the maximum. On-demand instances that fill the maximum
         # would cause serving reclaimable ones to be released seconds before they boot.
         self.sizing.meter.rate = 6.0
-        self.sizing.note_denied(Kind("a", True), 0.0)
+        self.sizing.record_denied(InstanceKind("a", True), 0.0)
         plan = self.plan(make_members(reclaimable=2), 1.0)
         for centre in CENTRES:
-            self.assertGreaterEqual(plan[Kind(centre, True)], 2)
+            self.assertGreaterEqual(plan[InstanceKind(centre, True)], 2)
         # Free places up to the maximum are used.
         self.assertEqual(count(plan, False), 3)
 
@@ -161,7 +163,10 @@
             for now, members in enumerate((make_members(), make_members(0), [])):
                 plan = self.plan(members, now)
                 for centre in CENTRES:
-                    total = plan[Kind(centre, True)] + plan[Kind(centre, False)]
+                    total = (
+                        plan[InstanceKind(centre, True)]
+                        + plan[InstanceKind(centre, False)]
+                    )
                     self.assertIn(total, range(FLEET.minimum, FLEET.maximum + 1))
 
 
@@ -174,11 +179,11 @@
 
     def work(self, second, rate):
         """Measure work at a constant rate up to a second."""
-        self.sizing.meter.measure({"one": (1, second * rate)}, second)
+        self.sizing.meter.update({"one": (1, second * rate)}, second)
 
     def ordered(self, now):
         """Return how many reclaimable engines the due orders ask for in total."""
-        due = self.sizing.list_due(self.fleet, [], now)
+        due = self.sizing.list_due_orders(self.fleet, [], now)
         return sum(count for kind, count in due if kind.reclaimable)
 
     def test_a_fraction_of_the_maximum_is_ordered_before_the_work_is_known(self):
@@ -203,7 +208,7 @@
             self.work(second, 8.0)
         high = self.ordered(29.0)
         for second in range(30, 34):
-            self.sizing.meter.measure({"one": (1, 240.0)}, second)
+            self.sizing.meter.update({"one": (1, 240.0)}, second)
         self.assertLess(self.sizing.meter.rate, 7.0)
         self.assertEqual(self.ordered(33.0), high)
         self.assertGreater(PEAK_WINDOW, 4)
@@ -216,5 +221,5 @@
             start = 1 if second < 30 else 2
             total = second if second < 30 else second - 30
             totals = {"one": (1, second * 0.5), "two": (start, float(total))}
-            meter.measure(totals, float(second))
+            meter.update(totals, float(second))
         self.assertAlmostEqual(meter.rate, 1.5, places=1)
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -541,8 +541,8 @@
         (
             Edit(
                 "instance_reports",
-                "self._until.setdefault(placement, now + TOLD_FOR)",
-                "self._until[placement] = now + TOLD_FOR",
+                "self._until.setdefault(cached_prompt, now + PROMPT_REPORT_SECONDS)",
+                "self._until[cached_prompt] = now + PROMPT_REPORT_SECONDS",
             ),
         ),
         (
