--- a/src/chervilwing/allowances.py
+++ b/src/chervilwing/allowances.py
@@ -16,8 +16,8 @@
 from .exceptions import AllowanceUnknown, CustomerLimit, Scope
 
 # Seconds after which a refused caller may retry: shortest and longest.
-SHORTEST_RETRY = 0.25
-LONGEST_RETRY = 10.0
+MIN_RETRY_AFTER = 0.25
+MAX_RETRY_AFTER = 10.0
 # Seconds after which a caller may retry at another instance.
 OTHER_INSTANCE_RETRY = 0.1
 # Fraction of all instances up to which a group of instances that reach each other is
@@ -29,7 +29,7 @@
 # Seconds without a message after which a parent or child counts as lost. Two claims in
 # a row are hardly ever lost by chance. The bound on spending grows by the rate times
 # this.
-HEARD_FOR = 0.8
+PEER_TIMEOUT = 0.8
 # Seconds between two updates of all buckets; the credit of so short a time is
 # negligible.
 ADVANCE_INTERVAL = 0.005
@@ -49,7 +49,7 @@
 # always in transit between instances: accrued credit is returned after CLAIM_INTERVAL,
 # through two instances. A customer whose requests are nearly as large as its burst
 # would otherwise hardly ever have enough credit at one instance.
-UNDER_WAY = 2 * CLAIM_INTERVAL
+IN_TRANSIT_SECONDS = 2 * CLAIM_INTERVAL
 # Seconds of an instance's share that a single request may overdraw where there is no
 # parent to ask. Without it, an instance that is cut off would never serve a long
 # prompt. The bound on spending grows by the rate times this.
@@ -123,12 +123,12 @@
         bucket.rate, bucket.burst = item.rate, item.burst
         bucket.level = min(bucket.level, item.burst)
 
-    def lift_limit(self, item):
+    def remove_limit(self, item):
         """Remove a limit that ended, and its credit."""
         self._buckets.pop(item.name, None)
         self._requested.pop(item.name, None)
 
-    def set_known(self, instance_count, now):
+    def set_instance_count(self, instance_count, now):
         """Set how many instances share the allowances, recently lost ones included.
 
         No credit accrues before this is set: an instance that starts beside hundreds of
@@ -152,7 +152,7 @@
         elapsed, self._advanced_at = now - self._advanced_at, now
         self._forget_children(now)
         share, parentless = self._compute_share(), self._has_no_parent(now)
-        in_transit = UNDER_WAY if self._children else 0.0
+        in_transit = IN_TRANSIT_SECONDS if self._children else 0.0
         decay = 0.5 ** (elapsed / USE_HALF_LIFE)
         for name, bucket in self._buckets.items():
             bucket.use *= decay
@@ -163,7 +163,7 @@
             accrued = bucket.rate * elapsed / self._instance_count
             bucket.level = min(bucket.level + accrued, capacity)
 
-    def covers(self, item, cost, now):
+    def has_credit(self, item, cost, now):
         """Return whether this instance has the credit for a cost."""
         bucket = self._find_bucket(item)
         if bucket is None:
@@ -173,7 +173,7 @@
 
     def charge(self, item, cost, now):
         """Spend the cost; return whether the credit for it was available."""
-        if not self.covers(item, cost, now):
+        if not self.has_credit(item, cost, now):
             return False
         bucket = self._find_bucket(item)
         if bucket is None:
@@ -182,15 +182,15 @@
         bucket.use += cost
         return True
 
-    def seek(self, item, cost, until):
+    def request_credit(self, item, cost, until):
         """Request credit in the claims up to ``until``; no request waits for it yet."""
         self._requested[item.name] = CreditRequest(cost, until)
 
-    def wait(self, organisation, cost):
+    def add_waiting(self, organisation, cost):
         """Record that a request waits for credit."""
         self.waiting.setdefault(organisation.name, []).append(cost)
 
-    def stop_waiting(self, organisation, cost):
+    def remove_waiting(self, organisation, cost):
         """Record that a request no longer waits."""
         self.waiting[organisation.name].remove(cost)
         if not self.waiting[organisation.name]:
@@ -202,7 +202,7 @@
         if bucket is not None and seconds_ago <= REFUND_WINDOW:
             bucket.level = min(bucket.burst, bucket.level + cost)
 
-    def refuse(self, organisation, cost):
+    def make_limit_error(self, organisation, cost):
         """Return the refusal of a request for which there is not enough credit.
 
         An instance that is cut off may have used up its share while the customer is far
@@ -216,7 +216,7 @@
         ):
             return AllowanceUnknown(scope=scope, retry_after=OTHER_INSTANCE_RETRY)
         wait = cost / self._buckets[organisation.name].rate
-        wait = min(LONGEST_RETRY, max(SHORTEST_RETRY, wait))
+        wait = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait))
         return CustomerLimit(
             "The allowance is used up.",
             scope=scope,
@@ -383,7 +383,7 @@
 
     def _has_no_parent(self, now):
         """Return whether no parent answers; ``now`` is None before the first update."""
-        return now is None or now - self._last_answer_at > HEARD_FOR
+        return now is None or now - self._last_answer_at > PEER_TIMEOUT
 
     def _count_subtree(self):
         return 1 + sum(child.instances for child in self._children.values())
@@ -397,7 +397,7 @@
         gone = [
             name
             for name, child in self._children.items()
-            if now - child.last_claim_at > HEARD_FOR
+            if now - child.last_claim_at > PEER_TIMEOUT
         ]
         for name in gone:
             del self._children[name]
--- a/src/chervilwing/attempts.py
+++ b/src/chervilwing/attempts.py
@@ -79,7 +79,7 @@
         relay.take_buffered()
         relay.pool.record_sent(upstream_state, relay.demand, estimate, now)
         if relay.attempts > 1:
-            self._retries.note_retry(relay.pool.spec.name)
+            self._retries.record_retry(relay.pool.spec.name)
         handlers = CallHandlers(
             head=partial(self._on_head, relay),
             data=partial(self._on_data, relay),
@@ -142,7 +142,7 @@
         if answer_status.not_run:
             self._retry_not_run(relay)
             return
-        self._gateway.crash_watch.note_answered(relay)
+        self._gateway.crash_detection.handle_answered(relay)
         if not answer_status.authentic:
             self._abort_attempt(relay, "The answer is not the upstream's own.")
             return
@@ -162,7 +162,7 @@
         if answer_status.limit is not None and answer_status.limit < inf:
             relay.limit = answer_status.limit
         name, now = relay.upstream_state.registration.name, read_boottime()
-        self._gateway.upstream_limits.note_answer(
+        self._gateway.upstream_limits.record_answer(
             name, answer_status.limit, relay.sent_at, now
         )
 
@@ -243,13 +243,13 @@
         self._record_start(relay)
         failed = status >= MIN_SERVER_ERROR
         if relay.events is not None and relay.events.has_partial:
-            self._gateway.crash_watch.note_broken(relay, read_boottime())
+            self._gateway.crash_detection.handle_broken(relay, read_boottime())
             self._abort_attempt(relay, "The stream ended in the middle of an event.")
             return
         if relay.call.reader.endless:
             # The body ends with the connection, so a crash of the upstream can't be
             # distinguished from a complete answer.
-            self._gateway.crash_watch.note_left(relay, read_boottime())
+            self._gateway.crash_detection.handle_caller_left(relay, read_boottime())
         elif not failed:
             self._gateway.crashes.clear(relay.fingerprint, read_boottime())
         self.end_attempt(relay, failed)
@@ -284,7 +284,7 @@
             relay.may_have_run = True
             self._count_usage(relay)
             if isinstance(exc, ConnectionBroken):
-                self._gateway.crash_watch.note_broken(relay, read_boottime())
+                self._gateway.crash_detection.handle_broken(relay, read_boottime())
         self.end_attempt(relay, failed=True)
         if relay.ended:
             return
--- a/src/chervilwing/coordination.py
+++ b/src/chervilwing/coordination.py
@@ -249,7 +249,7 @@
     def _share_allowances(self, now):
         """Share the limits among all instances, recently lost ones included."""
         count = max(self._instance_count.count, len(self.list_recent_instances()))
-        self._gateway.allowances.set_known(count, now)
+        self._gateway.allowances.set_instance_count(count, now)
 
     def _store_count(self, now):
         call = self._instance_count.next_call(len(self.list_recent_instances()), now)
@@ -361,13 +361,13 @@
 
     def _apply_crash(self, item, now):
         crash = None if item.value is None else self._read(decode_crash, item)
-        self._gateway.crashes.hear_stored(item.key, crash, item.revision, now)
+        self._gateway.crashes.apply_stored(item.key, crash, item.revision, now)
 
     def _set_watch_wait(self):
         """Shorten the watches while a decision on a roll-out is pending."""
         rollouts = self._gateway.rollouts
-        rollouts.as_of = self._instances.as_of
-        wait = REGISTRATIONS_WAIT if rollouts.undecided else INSTANCES_WAIT
+        rollouts.updated_at = self._instances.as_of
+        wait = REGISTRATIONS_WAIT if rollouts.has_undecided else INSTANCES_WAIT
         self._instances.wait = wait
 
     def _apply_peer(self, item):
--- a/src/chervilwing/crash_detection.py
+++ b/src/chervilwing/crash_detection.py
@@ -58,7 +58,7 @@
     at: float
 
 
-class CrashWatch(BaseComponent):
+class CrashDetection(BaseComponent):
     """Suspect the requests in flight at crashed upstreams; see CrashRecords."""
 
     channel = "crash-detection"
@@ -85,7 +85,7 @@
         """Return whether any probe is still open."""
         return bool(self._probes)
 
-    def note_broken(self, relay, now):
+    def handle_broken(self, relay, now):
         """Handle an attempt whose connection broke off before the answer's end."""
         registration = relay.upstream_state.registration
         if relay.sent_at < self._get_restarts(registration.name).at:
@@ -101,7 +101,7 @@
             # A leaving upstream ends when its time is over, whatever it runs.
             self._start_probe(registration, now)
 
-    def note_answered(self, relay):
+    def handle_answered(self, relay):
         """Record that an upstream answers: it is running, or has restarted.
 
         Upstreams from a routes file keep their names over restarts. Other upstreams get
@@ -116,18 +116,18 @@
             del self._crashed[name]
         self._records.record_alive(name, relay.sent_at, read_boottime())
 
-    def note_left(self, relay, now):
+    def handle_caller_left(self, relay, now):
         """Record that an attempt is abandoned while the upstream may run it."""
         if relay.call is not None and relay.call.conn.sent:
             name = relay.upstream_state.registration.name
             self._abandoned.append(AbandonedAttempt(name, relay.fingerprint, now))
 
-    def note_gone(self, registration, now):
+    def handle_removed(self, registration, now):
         """Handle a vanished registration: probe the upstream if it wasn't leaving."""
         if not registration.leaving and registration.name not in self._crashed:
             self._start_probe(registration, now)
 
-    def note_restarted(self, registration, now):
+    def handle_restarted(self, registration, now):
         """Handle an upstream's restart under the same name, which proves a crash."""
         name = registration.name
         suspicions = self._list_in_flight(name, now)
--- a/src/chervilwing/crash_records.py
+++ b/src/chervilwing/crash_records.py
@@ -54,7 +54,7 @@
     upstream: str
 
 
-class CrashNews(NamedTuple):
+class CrashReport(NamedTuple):
     """Report to another instance: a Suspicion and its age in seconds."""
 
     fingerprint: str
@@ -130,7 +130,7 @@
         """Return whether a request must not be sent to any upstream."""
         return self.count(fingerprint, now) >= CRASH_LIMIT
 
-    def check(self, fingerprint, now):
+    def raise_if_barred(self, fingerprint, now):
         """Raise RequestBarred if a request must not be sent to any upstream."""
         if self.is_barred(fingerprint, now):
             # A request that is still being repeated must not be evicted first.
@@ -141,7 +141,7 @@
             scope = Scope("request", fingerprint)
             raise RequestBarred(scope=scope, retry_after=wait)
 
-    def measure(self, now):
+    def count_suspected(self, now):
         """Return the number of suspected requests, and how many of them are barred."""
         counts = [self.count(fingerprint, now) for fingerprint in self._suspects]
         suspected = sum(count > 0 for count in counts)
@@ -164,11 +164,11 @@
 
     def prove(self, suspicion, now):
         """Suspect a request of a crash that this instance detected."""
-        self.hear(CrashNews(*suspicion, 0.0), now, near=True)
+        self.apply_reports(CrashReport(*suspicion, 0.0), now, near=True)
 
-    def hear(self, news, now, near=False):
+    def apply_reports(self, report, now, near=False):
         """Apply a report; ``near`` if it comes from this instance or its group."""
-        suspicion, at = Suspicion(news.fingerprint, news.upstream), now - news.age
+        suspicion, at = Suspicion(report.fingerprint, report.upstream), now - report.age
         if suspicion.upstream == ANY:
             self._withdraw_request(suspicion.fingerprint, now)
             return
@@ -184,7 +184,7 @@
         if suspect.count() > 1:
             self.stored.expedite(suspect.crashes.keys(), now)
 
-    def hear_stored(self, key, crash, revision, now):
+    def apply_stored(self, key, crash, revision, now):
         """Apply the crash stored under a key, or None if the key was deleted.
 
         A key is deleted when its lease expires, or by an operator, to let the requests
@@ -221,8 +221,8 @@
         if crash is not None:
             self._withdraw_crash(upstream, sent_at, now)
 
-    def list_told(self, now):
-        """Return the recent CrashNews to report to other instances.
+    def list_reports(self, now):
+        """Return the recent CrashReports to send to other instances.
 
         Suspicions of the most suspected requests come first and withdrawals last: when
         a rack of upstreams crashes at once, not all of them fit.
@@ -236,7 +236,7 @@
             self._reports[item],
         )
         first = sorted(self._reports, key=rank, reverse=True)[:MAX_REPORTS]
-        return [CrashNews(*item, now - self._reports[item][0]) for item in first]
+        return [CrashReport(*item, now - self._reports[item][0]) for item in first]
 
     def _queue_report(self, suspicion, at, now):
         self._reports[suspicion] = (at, now + REPORT_FOR)
--- a/src/chervilwing/credit_exchange.py
+++ b/src/chervilwing/credit_exchange.py
@@ -96,7 +96,7 @@
         self._lacks_credit = False
         self._choice.record_claim(now)
         claim = self._allowances.claim(parent, now)
-        self._send(parent, CLAIM, (self._limits.list_told(now), *claim))
+        self._send(parent, CLAIM, (self._limits.list_reports(now), *claim))
 
     def _send(self, name, kind, fields):
         peer = self._coordinator.peers.get(name)
@@ -111,7 +111,7 @@
 
     def _receive_claim(self, address, limits, *fields):
         now = read_boottime()
-        self._limits.hear(limits, now)
+        self._limits.merge_reports(limits, now)
         grant = self._allowances.receive_claim(read_claim(*fields), now)
         self._datagrams.send(GRANT, self._encode_grant(grant, now), address)
         if self._allowances.lacks_credit:
@@ -119,11 +119,11 @@
 
     def _encode_grant(self, grant, now):
         """Return the fields of a grant's datagram."""
-        return (self._name, self._limits.list_told(now), *grant)
+        return (self._name, self._limits.list_reports(now), *grant)
 
     def _receive_grant(self, address, name, limits, *fields):
         now = read_boottime()
-        self._limits.hear(limits, now)
+        self._limits.merge_reports(limits, now)
         self._choice.record_answer(name, now)
         if not self._allowances.receive_grant(Grant(*fields), now):
             return
--- a/src/chervilwing/gateway.py
+++ b/src/chervilwing/gateway.py
@@ -8,7 +8,7 @@
 from .attempts import RETRY_AFTER, Attempts
 from .balancing import PoolBalancer
 from .clocks import STARTED_AT, read_boottime
-from .crash_detection import CrashWatch
+from .crash_detection import CrashDetection
 from .crash_records import CrashRecords
 from .exceptions import (
     ChervilwingError,
@@ -99,7 +99,7 @@
         # interruption.
         self.registrations_fresh_since = lambda: float("inf")
         self.draining = False
-        self.crash_watch = CrashWatch(poller, self, client).register(self)
+        self.crash_detection = CrashDetection(poller, self, client).register(self)
         self._attempts = Attempts(self, client, dialect)
         self._dialect = dialect
         self._keys_are_fresh = keys_are_fresh
@@ -123,10 +123,10 @@
         """Add or update a registered upstream."""
         previous = self.registry.put(registration)
         if previous is not None:
-            self.crash_watch.note_restarted(previous, read_boottime())
-            self.upstream_limits.note_restarted(registration.name, read_boottime())
+            self.crash_detection.handle_restarted(previous, read_boottime())
+            self.upstream_limits.record_restart(registration.name, read_boottime())
             self._remove_from_pools(registration.name)
-        self.rollouts.note_version(
+        self.rollouts.record_version(
             registration.pool, registration.version, read_boottime()
         )
         self._get_or_create_pool(registration.pool).put_upstream(registration)
@@ -153,7 +153,9 @@
         for pool in self.pools.values():
             upstream_state = pool.upstream_states.get(name)
             if upstream_state is not None:
-                self.crash_watch.note_gone(upstream_state.registration, read_boottime())
+                self.crash_detection.handle_removed(
+                    upstream_state.registration, read_boottime()
+                )
         self._remove_from_pools(name)
 
     def _remove_from_pools(self, name):
@@ -188,7 +190,7 @@
         self.relays.add(relay)
         if not sent:
             self._waiting.append(relay)
-            self.allowances.wait(relay.organisation, relay.cost)
+            self.allowances.add_waiting(relay.organisation, relay.cost)
             self.on_credit_needed()
 
     def _log_and_refuse(self, exchange, exc):
@@ -211,7 +213,7 @@
         relay = Relay(exchange, route, organisation, pool, demand, now)
         relay.cost = self._dialect.measure_cost(demand, organisation)
         relay.rollout_draw = self._rng.random()
-        self.crashes.check(relay.fingerprint, now)
+        self.crashes.raise_if_barred(relay.fingerprint, now)
         return relay
 
     def _charge_and_place(self, relay, now):
@@ -228,7 +230,7 @@
         origin = self.placing.get_origin()
         exhausted = self.upstream_limits.list_exhausted(relay.pool.upstream_states, now)
         if origin is not None and origin.placer:
-            self.upstream_limits.seek(exhausted, now)
+            self.upstream_limits.request_credit(exhausted, now)
         excluded = exhausted | self.list_excluded_upstreams(relay, now)
         return relay.pool.choose(relay.demand, excluded, now, origin)
 
@@ -238,7 +240,7 @@
         Every send of a request passes this check. The upstream's own limit is checked
         last, because that check consumes its credit.
         """
-        self.crashes.check(relay.fingerprint, now)
+        self.crashes.raise_if_barred(relay.fingerprint, now)
         if choice is None:
             raise self._make_unavailable_error(relay.pool)
         upstream_state, estimate = choice
@@ -252,7 +254,7 @@
     def _make_unavailable_error(self, pool):
         """Return the error for a request that no upstream of the pool can accept."""
         scope = Scope("pool", pool.spec.name)
-        wait = self.upstream_limits.measure_wait(pool.upstream_states)
+        wait = self.upstream_limits.get_retry_after(pool.upstream_states)
         if wait is None:
             return NoUpstream(scope=scope, retry_after=RETRY_AFTER)
         return PoolLimited(scope=scope, retry_after=wait)
@@ -271,11 +273,11 @@
             relay.pool.spec.name,
             relay.upstream_state.registration.version,
         )
-        if not self.rollouts.is_watched(pool):
+        if not self.rollouts.is_in_trial(pool):
             return
         elapsed = read_boottime() - relay.sent_at
         slow = elapsed > relay.estimate.seconds * SLOW_FACTOR + SLOW_MARGIN
-        self.rollouts.note_answer(pool, version, relay.route.name, failed or slow)
+        self.rollouts.record_answer(pool, version, relay.route.name, failed or slow)
 
     def place_locally(self, relay, now):
         """Send a request to the best upstream by this instance's own data."""
@@ -306,7 +308,7 @@
             self.refund(relay, now)
             raise
         relay.pool.record_work(relay.demand, choice[1])
-        self.retries.note_first(relay.pool.spec.name)
+        self.retries.record_first_attempt(relay.pool.spec.name)
         self._attempts.send(relay, choice)
 
     def refund(self, relay, now):
@@ -326,13 +328,13 @@
                     continue
             except ChervilwingError as exc:
                 self._refuse_waiting(relay, exc)
-            self.allowances.stop_waiting(relay.organisation, relay.cost)
+            self.allowances.remove_waiting(relay.organisation, relay.cost)
 
     def _keep_waiting(self, relay, now):
         """Leave a request waiting for credit, or raise CustomerLimit."""
         wait = min(MAX_CREDIT_WAIT, relay.route.latency_target * MAX_CREDIT_WAIT_PART)
         if now - relay.received_at >= wait:
-            raise self.allowances.refuse(relay.organisation, relay.cost)
+            raise self.allowances.make_limit_error(relay.organisation, relay.cost)
         self._waiting.append(relay)
 
     def _get_document_version(self):
@@ -373,7 +375,7 @@
         if relay is None or relay.ended:
             return
         if relay.call is not None:
-            self.crash_watch.note_left(relay, read_boottime())
+            self.crash_detection.handle_caller_left(relay, read_boottime())
             self._attempts.end_attempt(relay, failed=None, cancel=True)
         self.close(relay, "caller_left", 0)
 
@@ -390,7 +392,7 @@
         sent = relay.call is not None and relay.call.conn.sent
         if relay.call is not None:
             failed = True if sent and relay.answer is None else None
-            self.crash_watch.note_left(relay, read_boottime())
+            self.crash_detection.handle_caller_left(relay, read_boottime())
             self._attempts.end_attempt(relay, failed, cancel=True)
         relay.may_have_run = relay.may_have_run or bool(sent)
         self._attempts.give_up(relay, DeadlinePassed())
--- a/src/chervilwing/gatewayd.py
+++ b/src/chervilwing/gatewayd.py
@@ -142,7 +142,7 @@
     def _render_gauges(self):
         gateway, now = self.gateway, read_boottime()
         version = gateway.table.document.version if gateway.table else 0
-        suspected, barred = gateway.crashes.measure(now)
+        suspected, barred = gateway.crashes.count_suspected(now)
         gauges = {
             "gateway_in_flight": len(gateway.relays),
             "gateway_callers": gateway.web.count(),
--- a/src/chervilwing/instance_reports.py
+++ b/src/chervilwing/instance_reports.py
@@ -8,7 +8,7 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-from .crash_records import CrashNews
+from .crash_records import CrashReport
 from .fingerprints import REPEAT_SIZE
 from .prompt_caches import PROMPT_REPORT_SECONDS, CachedPrompt
 from .upstream_states import NO_LOAD, UpstreamLoad, add_loads
@@ -55,7 +55,7 @@
     counts: Counts
     usage: dict[int, dict[str, int]]
     cached_prompts: list[CachedPrompt]
-    crashes: list[CrashNews]
+    crashes: list[CrashReport]
 
 
 class ReportReply(NamedTuple):
@@ -73,7 +73,7 @@
     sums: Counts | None
     stored: list[int]
     cached_prompts: list[CachedPrompt]
-    crashes: list[CrashNews]
+    crashes: list[CrashReport]
 
 
 def read_reply(
@@ -82,7 +82,7 @@
     """Return the ReportReply of a datagram; older processes send no crashes."""
     sums = None if sums is None else read_counts(*sums)
     cached_prompts = read_cached_prompts(cached_prompts)
-    crashes = read_crash_news(crashes)
+    crashes = read_crash_reports(crashes)
     return ReportReply(
         name, incarnation, time_of_day, sums, stored, cached_prompts, crashes
     )
@@ -94,20 +94,20 @@
     """Return the InstanceReport of a datagram; older processes send no crashes."""
     counts = read_counts(*counts)
     cached_prompts = read_cached_prompts(cached_prompts)
-    crashes = read_crash_news(crashes)
+    crashes = read_crash_reports(crashes)
     return InstanceReport(
         name, incarnation, group, time_of_day, counts, usage, cached_prompts, crashes
     )
 
 
-def read_crash_news(values):
-    """Return the CrashNews decoded from a datagram, or raise ValueError."""
-    news = [CrashNews(*value) for value in values]
-    sizes = {len(bytes.fromhex(item.fingerprint)) for item in news}
+def read_crash_reports(values):
+    """Return the CrashReports decoded from a datagram, or raise ValueError."""
+    reports = [CrashReport(*value) for value in values]
+    sizes = {len(bytes.fromhex(item.fingerprint)) for item in reports}
     # An empty fingerprint stands for all requests.
     if not sizes <= {0, REPEAT_SIZE}:
         raise ValueError("a fingerprint has the wrong length")
-    return news
+    return reports
 
 
 def read_cached_prompts(values):
--- a/src/chervilwing/placement_exchange.py
+++ b/src/chervilwing/placement_exchange.py
@@ -159,7 +159,7 @@
         origin = self._get_origin()._replace(data_centre=ask.centre)
         limits = self._gateway.upstream_limits
         exhausted = limits.list_exhausted(pool.upstream_states, now)
-        limits.seek(exhausted, now)
+        limits.request_credit(exhausted, now)
         excluded = exhausted.union(ask.excluded)
         found = pool.choose(demand, excluded, now, origin)
         answer = Answer(ask.number, self._cfg.name, self._key)
--- a/src/chervilwing/report_exchange.py
+++ b/src/chervilwing/report_exchange.py
@@ -248,7 +248,7 @@
             counts,
             self._parts.list_unstored(),
             self._list_cached_prompts(),
-            self._gateway.crashes.list_told(read_boottime()),
+            self._gateway.crashes.list_reports(read_boottime()),
         )
 
     def _list_cached_prompts(self):
@@ -284,7 +284,7 @@
         cached_prompts = self._group_cached_prompts.list_recent(now)
         if same_group:
             cached_prompts += self._other_cached_prompts.list_recent(now)
-        crashes = self._gateway.crashes.list_told(now)
+        crashes = self._gateway.crashes.list_reports(now)
         reply = ReportReply(
             self._cfg.name,
             self._cfg.incarnation,
@@ -345,8 +345,8 @@
         return listed or not self._coordinator.unreachable
 
     def _apply_crashes(self, crashes, now, same_group=False):
-        for news in crashes:
-            self._gateway.crashes.hear(news, now, same_group)
+        for report in crashes:
+            self._gateway.crashes.apply_reports(report, now, same_group)
 
     def _apply_cached_prompts(self, cached_prompts):
         for pool in self._gateway.pools.values():
@@ -380,7 +380,7 @@
         placed_elsewhere = sum_loads(
             loads for placer, loads in others.in_flight.items() if placer != placed_here
         )
-        self._gateway.rollouts.hear(source, others.answers)
+        self._gateway.rollouts.add_peer_answers(source, others.answers)
         for name, pool in self._gateway.pools.items():
             pool.peer_work = {source: (source[1], others.work.get(name, 0.0))}
             pool.set_peer_loads(loads, until, placed_elsewhere)
--- a/src/chervilwing/retry_shares.py
+++ b/src/chervilwing/retry_shares.py
@@ -23,7 +23,7 @@
         """Set the number of instances that share the budget."""
         self.instances = max(1, count)
 
-    def note_first(self, pool):
+    def record_first_attempt(self, pool):
         """Record a request's first attempt, which earns part of a retry."""
         earned = self._owner.cfg.retry_ratio * USABLE_FRACTION
         self._levels[pool] = min(self._capacity(), self._level(pool) + earned)
@@ -32,7 +32,7 @@
         """Return whether a retry may be sent now."""
         return self._level(pool) >= 1.0
 
-    def note_retry(self, pool):
+    def record_retry(self, pool):
         """Record a retry, which spends one from the share."""
         self._levels[pool] = self._level(pool) - 1.0
 
--- a/src/chervilwing/rollout_duty.py
+++ b/src/chervilwing/rollout_duty.py
@@ -37,18 +37,22 @@
     @handler("tick", channel="*")
     def _on_tick(self):
         now = read_boottime()
-        if self._busy or now < self._next_evaluation or not self._rollouts.open:
+        if (
+            self._busy
+            or now < self._next_evaluation
+            or not self._rollouts.rollouts_by_pool
+        ):
             return
         self._next_evaluation = now + EVALUATE_INTERVAL
         if self._coordinator.tenure.fence(now) is None:
             return
-        for rollout in self._rollouts.open.values():
+        for rollout in self._rollouts.rollouts_by_pool.values():
             if self._advance(rollout):
                 return
 
     def _advance(self, rollout):
         """Write the next state of a roll-out; return whether there is one."""
-        answers = add_totals(self._rollouts.answers, self._rollouts.heard)
+        answers = add_totals(self._rollouts.answers, self._rollouts.peer_answers)
         tried, current = split_answers(answers, rollout)
         now = self._read_time()
         state = decide(rollout, tried, current, now)
--- a/src/chervilwing/rollouts.py
+++ b/src/chervilwing/rollouts.py
@@ -216,22 +216,22 @@
     """State of all roll-outs at one instance; times are seconds on one clock.
 
     ``answers`` holds the number of answers that this instance saw since its start, by
-    encode_answer_key, and ``heard`` those of all other instances.
+    encode_answer_key, and ``peer_answers`` those of all other instances.
     """
 
     def __init__(self):
-        self.open = {}
+        self.rollouts_by_pool = {}
         self.answers = {}
-        self.heard = {}
+        self.peer_answers = {}
         # The last report of the other instances' totals: its source and the totals.
         self._last_report = (None, {})
         # When the known decisions were last up to date with the store.
-        self.as_of = float("-inf")
+        self.updated_at = float("-inf")
         self._decisions = {}
         # When each version was first seen, by pool and version.
         self._seen = {}
 
-    def note_version(self, pool, version, now):
+    def record_version(self, pool, version, now):
         """Record that an upstream of a pool has a version."""
         seen = self._seen.setdefault(pool, {})
         # The first version of a pool is not a trial.
@@ -239,9 +239,9 @@
 
     def put_order(self, order, revision):
         """Store an operator's order, unless a newer one for its pool is known."""
-        known = self.open.get(order.pool)
+        known = self.rollouts_by_pool.get(order.pool)
         if known is None or known.revision < revision:
-            self.open[order.pool] = Rollout(order, revision)
+            self.rollouts_by_pool[order.pool] = Rollout(order, revision)
             self._update_rollout(order.pool)
 
     def put_decision(self, pool, decision, revision):
@@ -250,13 +250,15 @@
         self._update_rollout(pool)
 
     def _update_rollout(self, pool):
-        rollout = self.open.get(pool)
+        rollout = self.rollouts_by_pool.get(pool)
         if rollout is None:
             return
         decision, decided_at = self._decisions.get(pool, (None, 0))
         if decision is not None and decision.order != rollout.revision:
             decision = None
-        self.open[pool] = rollout._replace(decision=decision, decided_at=decided_at)
+        self.rollouts_by_pool[pool] = rollout._replace(
+            decision=decision, decided_at=decided_at
+        )
 
     def list_excluded(self, pool, upstream_states, drawn, now):
         """Return the names of the upstreams that a request must not be sent to.
@@ -264,7 +266,7 @@
         ``drawn`` is a random number from 0 to 1 for the request, or None for a retry,
         which is never part of a trial.
         """
-        rollout, seen = self.open.get(pool), self._seen.get(pool, {})
+        rollout, seen = self.rollouts_by_pool.get(pool), self._seen.get(pool, {})
         if rollout is None and len(seen) < 2:
             return frozenset()
         allowed = self._make_version_filter(rollout, seen, drawn, now)
@@ -284,7 +286,7 @@
         if rollout is None:
             return lambda version: now - seen.get(version, now) >= UNKNOWN_VERSION_WAIT
         target, state = rollout.order.target, self._get_state(rollout)
-        up_to_date = now - self.as_of <= MAX_DECISION_AGE
+        up_to_date = now - self.updated_at <= MAX_DECISION_AGE
         if state == COMPLETED or (state == SHIFTING and up_to_date):
             return lambda version: version == target
         trial = state == RUNNING and up_to_date and drawn is not None
@@ -293,16 +295,19 @@
         return lambda version: version != target
 
     @property
-    def undecided(self):
+    def has_undecided(self):
         """Return whether any order has no final decision yet."""
-        return any(NEXT_STATES[self._get_state(item)] for item in self.open.values())
+        return any(
+            NEXT_STATES[self._get_state(item)]
+            for item in self.rollouts_by_pool.values()
+        )
 
-    def is_watched(self, pool):
+    def is_in_trial(self, pool):
         """Return whether a pool has an order without a final decision."""
-        rollout = self.open.get(pool)
+        rollout = self.rollouts_by_pool.get(pool)
         return rollout is not None and bool(NEXT_STATES[self._get_state(rollout)])
 
-    def hear(self, source, answers):
+    def add_peer_answers(self, source, answers):
         """Add the other instances' new answers, from the totals of one source.
 
         A process that starts to add up totals doesn't know the earlier ones, and two
@@ -313,9 +318,9 @@
         last_source, last_answers = self._last_report
         self._last_report = (source, answers)
         if source == last_source:
-            add_growth(self.heard, last_answers, answers, 1.0)
+            add_growth(self.peer_answers, last_answers, answers, 1.0)
 
-    def note_answer(self, pool, version, route, bad):
+    def record_answer(self, pool, version, route, bad):
         """Count one answer of a version; ``bad`` if it failed or was too slow."""
         for which in (ALL, BAD) if bad else (ALL,):
             name = encode_answer_key(pool, version, route, which)
--- a/src/chervilwing/upstream_limits.py
+++ b/src/chervilwing/upstream_limits.py
@@ -81,7 +81,7 @@
         self._registered_at = {}
         self._next_expire = float("-inf")
 
-    def note_answer(self, upstream, limit, sent_at, now):
+    def record_answer(self, upstream, limit, sent_at, now):
         """Update an upstream's limit from an answer; see AnswerStatus.
 
         ``limit`` is infinity if the answer states that there is none, and None if it
@@ -95,17 +95,17 @@
         elif upstream in self._limits:
             self._update(upstream, NamedLimit(inf, sent_at), now)
 
-    def note_restarted(self, upstream, now):
+    def record_restart(self, upstream, now):
         """End the limit of an upstream that has restarted."""
         if upstream in self._limits:
             self._update(upstream, NamedLimit(inf, now), now)
 
-    def list_told(self, now):
+    def list_reports(self, now):
         """Return the limits to report: triples of upstream, rate and age in seconds."""
         return [(name, limit.rate, now - limit.at) for name, limit in self._items()]
 
-    def hear(self, reported, now):
-        """Merge the limits that another instance's ``list_told`` returned."""
+    def merge_reports(self, reported, now):
+        """Merge the limits that another instance's ``list_reports`` returned."""
         for upstream, rate, age in reported:
             if rate < inf or upstream in self._limits:
                 self._update(upstream, NamedLimit(rate, now - age), now)
@@ -119,9 +119,9 @@
         if not self._accounts:
             return NO_UPSTREAMS
         limited = upstream_states.keys() & self._accounts.keys()
-        return {name for name in limited if not self._covers(name, now)}
+        return {name for name in limited if not self._has_credit(name, now)}
 
-    def seek(self, upstreams, now):
+    def request_credit(self, upstreams, now):
         """Ask for credit for these upstreams with the next claims.
 
         Only the instance that chooses for all may call this. A request that no upstream
@@ -131,17 +131,17 @@
         """
         for upstream in upstreams:
             account = self._accounts[upstream]
-            self._allowances.seek(account, REQUEST_COST, now + SEEK_TIME)
+            self._allowances.request_credit(account, REQUEST_COST, now + SEEK_TIME)
 
-    def _covers(self, upstream, now):
-        return self._allowances.covers(self._accounts[upstream], REQUEST_COST, now)
+    def _has_credit(self, upstream, now):
+        return self._allowances.has_credit(self._accounts[upstream], REQUEST_COST, now)
 
     def charge(self, upstream, now):
         """Spend credit for one request; return False if there was not enough."""
         account = self._accounts.get(upstream)
         return account is None or self._allowances.charge(account, REQUEST_COST, now)
 
-    def measure_wait(self, upstream_states):
+    def get_retry_after(self, upstream_states):
         """Return the seconds until one of the upstreams has credit for a request.
 
         Return None if none of them has a limit.
@@ -197,7 +197,7 @@
     def _lift(self, upstream):
         account = self._accounts.pop(upstream, None)
         if account is not None:
-            self._allowances.lift_limit(account)
+            self._allowances.remove_limit(account)
 
     def _forget(self, upstream):
         self._lift(upstream)
--- a/tests/crash_fleet.py
+++ b/tests/crash_fleet.py
@@ -198,7 +198,7 @@
 
     def _try(self, node, fingerprint, kind, tries, attempts_left):
         try:
-            node.records.check(fingerprint, self.now)
+            node.records.raise_if_barred(fingerprint, self.now)
         except RequestBarred:
             if not kind.crashing:
                 self.refused.add(fingerprint)
@@ -286,12 +286,12 @@
             return
         other = self.nodes.get(fanout.target)
         same_group = self.group_by_name[node.name] == self.group_by_name[other.name]
-        for news in node.records.list_told(self.now):
-            other.records.hear(news, self.now, same_group)
+        for report in node.records.list_reports(self.now):
+            other.records.apply_reports(report, self.now, same_group)
         if not self._reaches(node.name, other.name):
             return
-        for news in other.records.list_told(self.now):
-            node.records.hear(news, self.now)
+        for report in other.records.list_reports(self.now):
+            node.records.apply_reports(report, self.now)
         fanout.receive(number, 0.0, False, self.now)
 
     def _follow_store(self, node):
@@ -308,7 +308,7 @@
             at, key, crash = self.log[node.store_position]
             if not fresh and at > self.now:
                 break
-            node.records.hear_stored(key, crash, node.store_position, self.now)
+            node.records.apply_stored(key, crash, node.store_position, self.now)
             node.store_position += 1
 
     def _write(self, write):
--- a/tests/credit_fleet.py
+++ b/tests/credit_fleet.py
@@ -56,7 +56,7 @@
         self.allowances.configure(organisations, now)
         self.limits = UpstreamLimits(self.allowances)
         if instance_count:
-            self.allowances.set_known(instance_count, now)
+            self.allowances.set_instance_count(instance_count, now)
         self.choice = ParentChoice()
         self.claimed_at = now - CLAIM_INTERVAL
         self.lacks_credit = False
@@ -158,7 +158,7 @@
         node.lacks_credit = False
         node.choice.record_claim(self.now)
         claim = node.allowances.claim(parent, self.now)
-        message = (node.limits.list_told(self.now), claim)
+        message = (node.limits.list_reports(self.now), claim)
         self._send_datagram(node.name, parent, self._receive_claim, message)
 
     def _receive_probe(self, node, sender, message):
@@ -202,19 +202,19 @@
 
     def _receive_claim(self, node, sender, message):
         limits, claim = message
-        node.limits.hear(limits, self.now)
+        node.limits.merge_reports(limits, self.now)
         grant = node.allowances.receive_claim(claim, self.now)
         self._grant(node, sender, grant)
         if node.allowances.lacks_credit:
             self._claim_soon(node)
 
     def _grant(self, node, name, grant):
-        message = (node.limits.list_told(self.now), grant)
+        message = (node.limits.list_reports(self.now), grant)
         self._send_datagram(node.name, name, self._receive_grant, message)
 
     def _receive_grant(self, node, sender, message):
         limits, grant = message
-        node.limits.hear(limits, self.now)
+        node.limits.merge_reports(limits, self.now)
         node.choice.record_answer(sender, self.now)
         if not node.allowances.receive_grant(grant, self.now):
             return
@@ -239,7 +239,7 @@
             node = self.nodes[self.rng.choice(targets)]
             self.asked.append(self._record(node, item.organisation, cost, self.now))
             if not self._try_run(node, item.organisation, cost, self.now):
-                node.allowances.wait(item.organisation, cost)
+                node.allowances.add_waiting(item.organisation, cost)
                 node.waiting.append((item.organisation, cost, self.now))
                 if self.now >= node.frozen_until:
                     self._claim_soon(node)
@@ -267,7 +267,7 @@
                     node.waiting.append((organisation, cost, since))
                     continue
                 self.refused.append(self._record(node, organisation, cost, since))
-            node.allowances.stop_waiting(organisation, cost)
+            node.allowances.remove_waiting(organisation, cost)
 
 
 def measure_most(ran, name, window):
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -89,7 +89,7 @@
         ).register(self.loop.root)
         self.gateway.on_usage = lambda name, seconds_ago: self.usage.append(name)
         self.port = self.gateway.web.listen(ANY).port
-        self.gateway.allowances.set_known(1, read_boottime())
+        self.gateway.allowances.set_instance_count(1, read_boottime())
         if document is not None:
             self.gateway.configure(document)
         self.upstreams = [RawUpstream(script) for script in scripts]
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -124,7 +124,7 @@
     def _choose_for(self, placer):
         """Choose an upstream on behalf of other instances."""
         limits = self.nodes[placer].limits
-        limits.seek(limits.list_exhausted(self.upstreams, self.now), self.now)
+        limits.request_credit(limits.list_exhausted(self.upstreams, self.now), self.now)
         return self._choose_upstream(placer)
 
     def _choose_upstream(self, name):
@@ -187,7 +187,7 @@
             self._informed_at.setdefault((name, upstream), self.now)
         if name not in self.nodes:
             return
-        self.nodes[name].limits.note_answer(upstream, limit, sent_at, self.now)
+        self.nodes[name].limits.record_answer(upstream, limit, sent_at, self.now)
         if again:
             self._ask_for(name, 1)
 
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from chervilwing.allowances import HEARD_FOR, SHORTEST_RETRY, Allowances
+from chervilwing.allowances import MIN_RETRY_AFTER, PEER_TIMEOUT, Allowances
 from chervilwing.exceptions import AllowanceUnknown
 from chervilwing.routing import Organisation
 
@@ -16,7 +16,7 @@
     """Return allowances of one organisation with full buckets."""
     allowances = Allowances(name, incarnation)
     allowances.configure([INSURER], -FILL_SECONDS)
-    allowances.set_known(instance_count, -FILL_SECONDS)
+    allowances.set_instance_count(instance_count, -FILL_SECONDS)
     allowances.advance(0.0)
     return allowances
 
@@ -50,9 +50,9 @@
             spent += spend_all(self.child, now, cost) + spend_all(
                 self.parent, now, cost
             )
-            self.child.wait(INSURER, cost)
+            self.child.add_waiting(INSURER, cost)
             self.exchange(now)
-            self.child.stop_waiting(INSURER, cost)
+            self.child.remove_waiting(INSURER, cost)
         return spent
 
 
@@ -65,7 +65,7 @@
     def test_refusal_says_when_to_retry(self):
         allowances = make_allowances()
         spend_all(allowances, 0.0, cost=50.0)
-        exc = allowances.refuse(INSURER, 50.0)
+        exc = allowances.make_limit_error(INSURER, 50.0)
         self.assertAlmostEqual(exc.retry_after, 0.5, places=1)
 
     def test_request_over_the_burst_is_served_from_a_full_bucket(self):
@@ -118,7 +118,7 @@
         # the whole allowance.
         pair = Pair()
         spent = spend_all(pair.child, 0.0)
-        pair.child.wait(INSURER, 30.0)
+        pair.child.add_waiting(INSURER, 30.0)
         pair.exchange(0.0)
         self.assertGreaterEqual(spent + spend_all(pair.child, 0.0), 0.9 * BURST)
 
@@ -149,9 +149,9 @@
         spent = 0.0
         for at in range(1, 4):
             spent += spend_all(pair.child, at / 100, cost=1.0)
-            pair.child.wait(INSURER, 8.0)
+            pair.child.add_waiting(INSURER, 8.0)
             pair.exchange(at / 100)
-            pair.child.stop_waiting(INSURER, 8.0)
+            pair.child.remove_waiting(INSURER, 8.0)
         spent += spend_all(pair.child, 0.03, cost=1.0)
         self.assertLessEqual(spent, BURST + 0.03 * RATE)
 
@@ -167,14 +167,14 @@
         self.assertLessEqual(spend_all(pair.parent, 0.02, cost=0.1), 0.02 * RATE)
 
     def test_forgotten_child_brings_back_no_old_credit(self):
-        # The child is cut off for longer than HEARD_FOR and then claims again. The
+        # The child is cut off for longer than PEER_TIMEOUT and then claims again. The
         # parent has forgotten it, so credit that it returned before would count a
         # second time.
         pair = Pair()
         pair.exchange(0.0)
         pair.exchange(0.01)
         spend_all(pair.parent, 0.01, cost=1.0)
-        later = 0.01 + 2 * HEARD_FOR
+        later = 0.01 + 2 * PEER_TIMEOUT
         pair.parent.advance(later)
         spend_all(pair.parent, later, cost=0.1)
         claim = pair.child.claim("parent", later)
@@ -187,7 +187,7 @@
         pair = Pair()
         for at in range(10):
             pair.exchange(at / 10)
-        pair.child.wait(INSURER, 3 * BURST)
+        pair.child.add_waiting(INSURER, 3 * BURST)
         pair.exchange(1.0)
         self.assertTrue(pair.child.charge(INSURER, 3 * BURST, 1.0))
         # The parent is overdrawn; only the child's own accrual since then can be spent.
@@ -201,7 +201,7 @@
         pair.exchange(0.0)
         spend_all(pair.child, 0.0, cost=1.0)
         spend_all(pair.parent, 0.0, cost=1.0)
-        pair.child.wait(INSURER, 40.0)
+        pair.child.add_waiting(INSURER, 40.0)
         _, grant = pair.exchange(0.1)
         self.assertEqual(grant.totals, {})
         self.assertGreaterEqual(spend_all(pair.parent, 0.1, cost=1.0), 5.0)
@@ -211,7 +211,7 @@
         pair.exchange(0.0)
         spend_all(pair.child, 0.0, cost=1.0)
         spend_all(pair.parent, 0.0, cost=1.0)
-        pair.child.wait(INSURER, 10.0)
+        pair.child.add_waiting(INSURER, 10.0)
         pair.exchange(0.0)
         self.assertEqual(pair.parent.grant_waiting(), {})
         pair.parent.advance(0.3)
@@ -256,9 +256,9 @@
         # refusal said that the allowance is used up, the customer would stay away
         # although all other instances would serve it.
         allowances = make_allowances(instance_count=10)
-        exc = allowances.refuse(INSURER, 40.0)
+        exc = allowances.make_limit_error(INSURER, 40.0)
         self.assertIsInstance(exc, AllowanceUnknown)
-        self.assertLess(exc.retry_after, SHORTEST_RETRY)
+        self.assertLess(exc.retry_after, MIN_RETRY_AFTER)
 
     def test_cut_off_parent_drops_the_credit_of_others(self):
         # The first of all instances holds the whole burst and is cut off. The others
@@ -267,7 +267,7 @@
         pair = Pair()
         for at in range(10):
             pair.exchange(at / 10)
-        later = 1.0 + 2 * HEARD_FOR
+        later = 1.0 + 2 * PEER_TIMEOUT
         pair.parent.advance(later)
         self.assertLessEqual(spend_all(pair.parent, later, cost=0.1), BURST / 2)
 
--- a/tests/test_allowances_model.py
+++ b/tests/test_allowances_model.py
@@ -1,8 +1,8 @@
 """The bound on what a customer runs, over many instances and an unreliable network.
 
 In any window of W seconds, no more runs than the burst, plus the rate times W, plus the
-rate times the larger of OVERDRAFT_SECONDS and UNDER_WAY, plus one request over the
-burst. This holds whatever the instances know of each other;
+rate times the larger of OVERDRAFT_SECONDS and IN_TRANSIT_SECONDS, plus one request over
+the burst. This holds whatever the instances know of each other;
 ``docs/design/ALLOWANCES.md`` derives it.
 """
 
@@ -90,7 +90,7 @@
         fleet.start(max(fleet.nodes) + 1, instance_count)
     for name, node in fleet.nodes.items():
         if not fleet.side[name]:
-            node.allowances.set_known(instance_count, fleet.now)
+            node.allowances.set_instance_count(instance_count, fleet.now)
 
 
 def change_limit(fleet, rng):
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -12,8 +12,8 @@
     REPORT_DELAY,
     REPORT_FOR,
     SUSPECTED_FOR,
-    CrashNews,
     CrashRecords,
+    CrashReport,
     Suspicion,
 )
 from chervilwing.exceptions import BadConfiguration, RequestBarred
@@ -51,7 +51,7 @@
         self.assertFalse(self.records.is_barred("f", 0.0))
         self.prove("f", "u3", now=10.0)
         with self.assertRaises(RequestBarred) as caught:
-            self.records.check("f", 20.0)
+            self.records.raise_if_barred("f", 20.0)
         self.assertEqual(caught.exception.retry_after, SUSPECTED_FOR - 10.0)
         self.assertEqual(caught.exception.scope.name, "f")
         self.assertFalse(self.records.is_barred("f", 10.0 + SUSPECTED_FOR))
@@ -60,14 +60,14 @@
         # Another instance may have seen an answer, and its report may be in transit.
         self.prove("f", "u1", "u2", "u3")
         with self.assertRaises(RequestBarred) as caught:
-            self.records.check("f", 1.0)
+            self.records.raise_if_barred("f", 1.0)
         self.assertEqual(caught.exception.retry_after, REPORT_DELAY)
 
     def test_a_crash_counts_once_however_often_it_is_reported(self):
         # Several instances had copies of the request in flight at the upstream.
         self.prove("f", "u1", "u1")
-        self.records.hear(CrashNews("f", "u1", 0.0), 0.0)
-        self.records.hear_stored("k", StoredCrash("u1", ("f",)), 1, 0.0)
+        self.records.apply_reports(CrashReport("f", "u1", 0.0), 0.0)
+        self.records.apply_stored("k", StoredCrash("u1", ("f",)), 1, 0.0)
         self.assertEqual(self.records.count("f", 0.0), 1)
 
     def test_a_broken_connection_counts_until_the_upstream_answers(self):
@@ -78,15 +78,15 @@
         for name in ("u1", "u2", "u3"):
             self.records.dismiss(Suspicion("f", name))
         self.assertEqual(self.records.count("f", 0.0), 0)
-        self.assertEqual(self.records.list_told(0.0), [])
+        self.assertEqual(self.records.list_reports(0.0), [])
 
     def test_the_order_of_reports_does_not_matter(self):
         other = CrashRecords("one")
-        reports = [CrashNews("f", name, 0.0) for name in ("u1", "u2", "u3", "u2")]
+        reports = [CrashReport("f", name, 0.0) for name in ("u1", "u2", "u3", "u2")]
         for item in reports:
-            self.records.hear(item, 0.0)
+            self.records.apply_reports(item, 0.0)
         for item in reversed(reports):
-            other.hear(item, 0.0)
+            other.apply_reports(item, 0.0)
         self.assertEqual(self.records.count("f", 1.0), other.count("f", 1.0))
 
 
@@ -97,18 +97,18 @@
         self.prove("f", "u1", "u2", "u3")
         self.records.clear("f", 1.0)
         for name in ("u1", "u2", "u3"):
-            self.records.hear(CrashNews("f", name, 0.0), 2.0)
+            self.records.apply_reports(CrashReport("f", name, 0.0), 2.0)
         self.assertEqual(self.records.count("f", 2.0), 0)
 
     def test_other_instances_clear_a_request_that_was_answered(self):
         self.prove("f", "u1", "u2", "u3")
         other = CrashRecords("one")
-        for item in self.records.list_told(0.0):
-            other.hear(item, 0.0)
+        for item in self.records.list_reports(0.0):
+            other.apply_reports(item, 0.0)
         self.records.clear("f", 1.0)
         self.assertTrue(other.is_barred("f", 1.0))
-        for item in self.records.list_told(1.0):
-            other.hear(item, 1.0)
+        for item in self.records.list_reports(1.0):
+            other.apply_reports(item, 1.0)
         self.assertEqual(other.count("f", 1.0), 0)
 
     def test_a_popular_request_that_gets_answers_is_not_barred(self):
@@ -132,22 +132,22 @@
         # refused, so that its instances suspect all upstreams elsewhere of a crash.
         self.prove("f", "u1", "u2", "u3")
         other = CrashRecords("two")
-        for item in self.records.list_told(0.0):
-            other.hear(item, 0.0)
+        for item in self.records.list_reports(0.0):
+            other.apply_reports(item, 0.0)
         for name in ("u1", "u2", "u3"):
             other.record_alive(name, 1.5, 1.6)
         self.assertEqual(other.count("f", 2.0), 0)
-        for item in other.list_told(2.0):
-            self.records.hear(item, 2.0)
+        for item in other.list_reports(2.0):
+            self.records.apply_reports(item, 2.0)
         self.assertEqual(self.records.count("f", 2.0), 0)
 
     def test_an_answer_to_a_call_sent_before_the_crash_does_not_count(self):
-        self.records.hear(CrashNews("f", "u1", 0.0), 5.0)
+        self.records.apply_reports(CrashReport("f", "u1", 0.0), 5.0)
         self.records.record_alive("u1", 4.9, 5.1)
         self.assertEqual(self.records.count("f", 5.1), 1)
 
     def test_a_crash_after_an_answer_counts(self):
-        self.records.hear(CrashNews("f", "u1", 0.0), 0.0)
+        self.records.apply_reports(CrashReport("f", "u1", 0.0), 0.0)
         self.records.record_alive("u1", 0.5, 0.6)
         self.prove("f", "u1", now=9.0)
         self.assertEqual(self.records.count("f", 9.0), 1)
@@ -155,21 +155,21 @@
     def test_an_old_report_of_an_answer_does_not_withdraw_a_later_crash(self):
         # A report of an answer is passed on for some seconds. If it withdrew crashes
         # that followed the answer, all instances would miss them for that time.
-        self.records.hear(CrashNews("f", "u1", 0.0), 0.0)
+        self.records.apply_reports(CrashReport("f", "u1", 0.0), 0.0)
         self.records.record_alive("u1", 0.5, 0.6)
         self.prove("f", "u1", now=2.0)
-        self.records.hear(CrashNews(ANY, "u1", 2.0), 2.5)
+        self.records.apply_reports(CrashReport(ANY, "u1", 2.0), 2.5)
         self.assertEqual(self.records.count("f", 2.5), 1)
         # A withdrawn crash doesn't count again because of a later one.
         other = CrashRecords("two")
-        other.hear(CrashNews("f", "u2", 0.0), 0.0)
+        other.apply_reports(CrashReport("f", "u2", 0.0), 0.0)
         other.record_alive("u2", 1.0, 1.1)
-        other.hear(CrashNews("g", "u2", 2.0), 2.0)
+        other.apply_reports(CrashReport("g", "u2", 2.0), 2.0)
         self.assertEqual(other.count("g", 2.0), 0)
 
     def test_a_withdrawn_crash_is_deleted_from_the_store(self):
         crash = StoredCrash("u1", (FINGERPRINT,))
-        self.records.hear_stored("k/two", crash, 7, 0.0)
+        self.records.apply_stored("k/two", crash, 7, 0.0)
         self.records.record_alive("u1", 0.5, 0.6)
         write = self.records.stored.pop_write(0.6 + REWRITE_BY_PEERS_AFTER)
         self.assertEqual((write.crash.fingerprints, write.revision), ((), 7))
@@ -177,17 +177,17 @@
 
 class TestReporting(RecordsCase):
     def test_a_received_report_is_passed_on_for_a_while(self):
-        self.records.hear(CrashNews("f", "u1", 0.0), 0.0)
-        self.assertEqual(self.records.list_told(1.0), [CrashNews("f", "u1", 1.0)])
-        self.records.hear(CrashNews("f", "u1", 0.0), REPORT_FOR)
-        self.assertEqual(self.records.list_told(REPORT_FOR), [])
+        self.records.apply_reports(CrashReport("f", "u1", 0.0), 0.0)
+        self.assertEqual(self.records.list_reports(1.0), [CrashReport("f", "u1", 1.0)])
+        self.records.apply_reports(CrashReport("f", "u1", 0.0), REPORT_FOR)
+        self.assertEqual(self.records.list_reports(REPORT_FOR), [])
 
     def test_the_most_suspected_requests_are_reported_first(self):
         # When a rack of upstreams crashes at once, not all reports fit into a datagram.
         self.prove("f", "u1", "u2")
         for number in range(MAX_REPORTS * 2):
             self.prove(f"g{number}", "u3")
-        reported = self.records.list_told(0.0)
+        reported = self.records.list_reports(0.0)
         self.assertEqual(len(reported), MAX_REPORTS)
         self.assertEqual({item.upstream for item in reported[:2]}, {"u1", "u2"})
 
@@ -197,7 +197,7 @@
         """Apply stored crashes of upstreams, with the request suspected of them."""
         for name in upstreams:
             crash = StoredCrash(name, (FINGERPRINT,))
-            self.records.hear_stored(f"k/{name}", crash, 1, now)
+            self.records.apply_stored(f"k/{name}", crash, 1, now)
 
     def pop(self, now):
         """Return the crash that is due to be written, or None."""
@@ -208,8 +208,8 @@
         self.prove("f", "u1")
         # Another instance of the group reports a moment later. So does an instance of
         # another group, whose own leader writes that suspicion.
-        self.records.hear(CrashNews("g", "u1", 0.0), 0.2, near=True)
-        self.records.hear(CrashNews("h", "u1", 0.0), 0.2)
+        self.records.apply_reports(CrashReport("g", "u1", 0.0), 0.2, near=True)
+        self.records.apply_reports(CrashReport("h", "u1", 0.0), 0.2)
         self.assertIsNone(self.pop(0.3))
         crash = self.pop(COLLECT_FOR)
         self.assertEqual(crash, StoredCrash("u1", ("f", "g")))
@@ -218,7 +218,7 @@
     def test_a_second_crash_and_the_first_one_are_written_soon(self):
         # All instances may restart before a caller sends the request a third time.
         self.prove("f", "u1")
-        self.records.hear(CrashNews("f", "u2", 0.0), 1.0)
+        self.records.apply_reports(CrashReport("f", "u2", 0.0), 1.0)
         self.assertIsNone(self.pop(1.0))
         crash = self.pop(1.0 + COLLECT_REPEATED_FOR)
         self.assertEqual(crash, StoredCrash("u1", ("f",)))
@@ -233,7 +233,7 @@
         key, crash, _ = records.stored.pop_write(now)
         data = encode_crash(crash)
         crash = decode_crash(key, data) if data else None
-        records.hear_stored(key, crash, revision, now)
+        records.apply_stored(key, crash, revision, now)
         return key, crash, revision
 
     def test_a_request_cleared_later_is_removed_from_the_store(self):
@@ -241,7 +241,7 @@
         self.prove(FINGERPRINT, "u1")
         self.prove(OTHER, "u1")
         other = CrashRecords("two")
-        other.hear_stored(*self.write(self.records, COLLECT_FOR, 7), 3.0)
+        other.apply_stored(*self.write(self.records, COLLECT_FOR, 7), 3.0)
         self.records.clear(FINGERPRINT, 3.0)
         self.assertIsNone(self.pop(3.0))
         _, crash, _ = self.write(self.records, 3.0 + REWRITE_AFTER, 8)
@@ -249,14 +249,14 @@
         self.records.clear(OTHER, 10.0)
         stored = self.write(self.records, 10.0 + REWRITE_AFTER, 9)
         self.assertIsNone(stored[1])
-        other.hear_stored(*stored, 12.0)
+        other.apply_stored(*stored, 12.0)
         counts = other.count(FINGERPRINT, 12.0), other.count(OTHER, 12.0)
         self.assertEqual(counts, (0, 0))
 
     def test_a_cleared_request_is_removed_by_peers_if_its_writer_is_gone(self):
         self.prove(FINGERPRINT, "u1")
         other = CrashRecords("two")
-        other.hear_stored(*self.write(self.records, COLLECT_FOR, 7), 3.0)
+        other.apply_stored(*self.write(self.records, COLLECT_FOR, 7), 3.0)
         other.clear(FINGERPRINT, 3.0)
         self.assertIsNone(other.stored.pop_write(3.0 + REWRITE_AFTER))
         write = other.stored.pop_write(3.0 + REWRITE_BY_PEERS_AFTER)
@@ -270,7 +270,7 @@
         self.prove(OTHER, "u1", now=3.0)
         second = self.records.stored.pop_write(3.0 + COLLECT_FOR)
         self.assertEqual(second.crash.fingerprints, (FINGERPRINT, OTHER))
-        self.records.hear_stored(first.key, first.crash, 7, 6.0)
+        self.records.apply_stored(first.key, first.crash, 7, 6.0)
         self.assertEqual(self.records.count(OTHER, 6.0), 1)
 
     def test_the_most_suspected_requests_are_written_if_not_all_fit(self):
@@ -302,10 +302,10 @@
 
     def test_deleting_a_stored_crash_lets_its_request_pass(self):
         self.store("u1", "u2", "u3")
-        self.records.hear_stored("k/u1", None, 2, 1.0)
+        self.records.apply_stored("k/u1", None, 2, 1.0)
         self.assertFalse(self.records.is_barred(FINGERPRINT, 1.0))
         # Deleting an unknown crash has no effect.
-        self.records.hear_stored("k/u9", None, 2, 1.0)
+        self.records.apply_stored("k/u9", None, 2, 1.0)
 
     def test_a_crash_is_decoded_from_its_key_and_value(self):
         crash = StoredCrash("i-1/a", (FINGERPRINT, OTHER))
@@ -325,8 +325,8 @@
             self.records.clear(f"h{number}", 0.0)
             if number % 1000 == 0:
                 with self.assertRaises(RequestBarred):
-                    self.records.check("f", 0.0)
-        suspected, barred = self.records.measure(0.0)
+                    self.records.raise_if_barred("f", 0.0)
+        suspected, barred = self.records.count_suspected(0.0)
         self.assertEqual((suspected, barred), (MAX_REQUESTS, 1))
         self.assertEqual(len(self.records._answered), MAX_ANSWERED)
         self.records.stored.drop_writes(100.0)
@@ -335,13 +335,13 @@
     def test_the_number_of_stored_crashes_is_limited(self):
         for number in range(MAX_STORED):
             crash = StoredCrash(f"u{number}", (FINGERPRINT,))
-            self.records.hear_stored(f"k{number}", crash, 1, 0.0)
+            self.records.apply_stored(f"k{number}", crash, 1, 0.0)
         self.prove("f", "u")
         self.assertIsNone(self.records.stored.pop_write(COLLECT_FOR))
 
     def test_reports_of_many_requests_expire(self):
         for number in range(MAX_REQUESTS):
-            self.records.hear(CrashNews(f"g{number}", "u1", 0.0), 0.0)
-            self.records.hear(CrashNews(f"g{number}", ANY, 0.0), 0.0)
-        self.records.list_told(REPORT_FOR)
+            self.records.apply_reports(CrashReport(f"g{number}", "u1", 0.0), 0.0)
+            self.records.apply_reports(CrashReport(f"g{number}", ANY, 0.0), 0.0)
+        self.records.list_reports(REPORT_FOR)
         self.assertEqual(self.records._reports, {})
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -114,7 +114,7 @@
 
     def count(self, body):
         """Return the number of suspected crashes once no probe is open."""
-        poll(lambda: not self.run_.gateway.crash_watch.is_probing)
+        poll(lambda: not self.run_.gateway.crash_detection.is_probing)
         return self.count_now(body)
 
     def count_now(self, body, path="/note/x"):
@@ -151,7 +151,7 @@
         upstream.script = break_off
         upstream.listener.shutdown(socket.SHUT_RDWR)
         kept = run.gateway.relays.copy()
-        run.gateway.crash_watch.note_broken(next(iter(kept)), read_boottime())
+        run.gateway.crash_detection.handle_broken(next(iter(kept)), read_boottime())
         self.assertEqual(self.count(b"slow"), 0)
         upstream.close()
         beside.join()
@@ -160,7 +160,7 @@
         # All requests of its pool are barred, so no answer can show that it is running.
         run, _ = self.start_crashed()
         run.gateway.registrations_fresh_since = lambda: float("-inf")
-        watch = run.gateway.crash_watch
+        watch = run.gateway.crash_detection
         watch.clear_registered(read_boottime() + LAPSED_AFTER - 1.0)
         self.assertEqual(self.count_now(b"n"), 1)
         watch.clear_registered(read_boottime() + LAPSED_AFTER + 0.1)
@@ -168,7 +168,7 @@
 
     def test_a_crash_still_counts_after_the_registration_has_lapsed(self):
         run, _ = self.start_crashed()
-        watch = run.gateway.crash_watch
+        watch = run.gateway.crash_detection
         # No registration lapses while the store is away and some seconds after that.
         for since in (read_boottime() + 1.0, float("inf")):
             run.gateway.registrations_fresh_since = lambda since=since: since
--- a/tests/test_instance_reports.py
+++ b/tests/test_instance_reports.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from chervilwing.crash_records import CrashNews
-from chervilwing.instance_reports import Counts, ReportSums, read_crash_news
+from chervilwing.crash_records import CrashReport
+from chervilwing.instance_reports import Counts, ReportSums, read_crash_reports
 from chervilwing.upstream_states import UpstreamLoad
 
 
@@ -21,12 +21,12 @@
     def test_malformed_fingerprint_rejects_the_datagram(self):
         # An instance that accepted a malformed fingerprint would fail at each attempt
         # to write it to the store.
-        news = [["0123456789abcdef", "u1", 0.5], ["", "u1", 0.0]]
-        found = read_crash_news(news)
-        self.assertEqual(found[0], CrashNews("0123456789abcdef", "u1", 0.5))
+        reports = [["0123456789abcdef", "u1", 0.5], ["", "u1", 0.0]]
+        found = read_crash_reports(reports)
+        self.assertEqual(found[0], CrashReport("0123456789abcdef", "u1", 0.5))
         for fingerprint in ("f" * 14, "no hex at all 16"):
             with self.assertRaises(ValueError):
-                read_crash_news([[fingerprint, "u1", 0.0]])
+                read_crash_reports([[fingerprint, "u1", 0.0]])
 
 
 class TestReportSums(unittest.TestCase):
--- a/tests/test_limited_upstreams_model.py
+++ b/tests/test_limited_upstreams_model.py
@@ -8,7 +8,7 @@
 import random
 import unittest
 
-from chervilwing.allowances import HEARD_FOR, UNDER_WAY
+from chervilwing.allowances import IN_TRANSIT_SECONDS, PEER_TIMEOUT
 from chervilwing.upstream_limits import BURST_TIME
 from tests.limited_fleet import LimitedFleet
 from tests.test_allowances_model import (
@@ -38,7 +38,9 @@
     ALLOWANCES.md. ``parts`` is the sum of the fractions of the limit that the instances
     use, above 1 if they disagree on their number.
     """
-    held_credit = max(1.0, limit * BURST_TIME) + limit * parts * (UNDER_WAY + HEARD_FOR)
+    held_credit = max(1.0, limit * BURST_TIME) + limit * parts * (
+        IN_TRANSIT_SECONDS + PEER_TIMEOUT
+    )
     return held_credit + limit * parts * WINDOW + 1
 
 
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -52,12 +52,12 @@
 def make_rollouts(state=None, now=0.0):
     """Return the Rollouts of an instance that knows both versions and an order."""
     rollouts = Rollouts()
-    rollouts.note_version("engines", "v1", -100.0)
-    rollouts.note_version("engines", "v2", -50.0)
+    rollouts.record_version("engines", "v1", -100.0)
+    rollouts.record_version("engines", "v2", -50.0)
     rollouts.put_order(ORDER, 7)
     if state is not None:
         rollouts.put_decision("engines", Decision(7, "v2", state, 0.0), 9)
-    rollouts.as_of = now
+    rollouts.updated_at = now
     return rollouts
 
 
@@ -98,15 +98,15 @@
         # The watch of upstreams may deliver the new version before the watch of orders
         # delivers the order; for a second it would get as many requests as any other.
         rollouts = Rollouts()
-        rollouts.note_version("engines", "v1", 0.0)
-        rollouts.note_version("engines", "v2", 60.0)
+        rollouts.record_version("engines", "v1", 0.0)
+        rollouts.record_version("engines", "v2", 60.0)
         at_first = rollouts.list_excluded("engines", UPSTREAM_STATES, 0.5, 61.0)
         later = rollouts.list_excluded("engines", UPSTREAM_STATES, 0.5, 63.0)
         self.assertEqual((at_first, later), (NEW, frozenset()))
 
     def test_without_a_roll_out_no_upstream_is_excluded(self):
         rollouts = Rollouts()
-        rollouts.note_version("engines", "v1", 0.0)
+        rollouts.record_version("engines", "v1", 0.0)
         self.assertEqual(
             rollouts.list_excluded("engines", UPSTREAM_STATES, 0.0, 0.0), set()
         )
@@ -130,7 +130,7 @@
     def test_a_newer_order_starts_from_the_first_state(self):
         rollouts = make_rollouts(ROLLED_BACK)
         rollouts.put_order(ORDER._replace(target="v3"), 20)
-        rollout = rollouts.open["engines"]
+        rollout = rollouts.rollouts_by_pool["engines"]
         self.assertEqual(decide(rollout, {}, {}, 30.0), RUNNING)
         # The next write replaces the decision on the older order.
         self.assertEqual(rollout.decided_at, 9)
@@ -138,7 +138,9 @@
     def test_a_repeated_order_changes_nothing(self):
         rollouts = make_rollouts(ROLLED_BACK)
         rollouts.put_order(ORDER, 7)
-        self.assertEqual(rollouts.open["engines"].decision.state, ROLLED_BACK)
+        self.assertEqual(
+            rollouts.rollouts_by_pool["engines"].decision.state, ROLLED_BACK
+        )
 
     def test_a_version_without_answers_is_not_completed(self):
         rollout = make_rollouts(RUNNING).open["engines"]
@@ -151,8 +153,8 @@
         # begin below zero, and then grow by the answers actually seen.
         rollouts = make_rollouts()
         for source, total in (("a", 40.0), ("a", 44.0), ("b", -7.0), ("b", -4.0)):
-            rollouts.hear(source, {"x": total})
-        self.assertEqual(rollouts.heard, {"x": 7.0})
+            rollouts.add_peer_answers(source, {"x": total})
+        self.assertEqual(rollouts.peer_answers, {"x": 7.0})
 
 
 class TestPValue(unittest.TestCase):
@@ -184,7 +186,7 @@
         self.fails = fails
         self.instances = [make_rollouts() for _ in range(instances)]
         for rollouts in self.instances:
-            rollouts.open.clear()
+            rollouts.rollouts_by_pool.clear()
             rollouts.put_order(self.order, 7)
         self.requests = self.exposed = self.bad = 0
         self.fiftieth_at = None
@@ -211,7 +213,7 @@
     def _ask(self, now):
         for _ in range(int(self.rate / 10 + self.rng.random())):
             rollouts = self.rng.choice(self.instances)
-            rollouts.as_of = now
+            rollouts.updated_at = now
             excluded = rollouts.list_excluded(
                 "engines", UPSTREAM_STATES, self.rng.random(), now
             )
@@ -222,7 +224,7 @@
                 self._expose(bad, now)
             self.requests += now <= self.order.seconds
             version = "v2" if tried else "v1"
-            rollouts.note_answer("engines", version, "r", bad)
+            rollouts.record_answer("engines", version, "r", bad)
 
     def _expose(self, bad, now):
         self.exposed += now <= self.order.seconds
@@ -241,7 +243,9 @@
 
     def _evaluate(self, answers, due, now):
         decision = self.state and Decision(7, "v2", self.state, 0.0)
-        rollout = self.instances[0].open["engines"]._replace(decision=decision)
+        rollout = (
+            self.instances[0].rollouts_by_pool["engines"]._replace(decision=decision)
+        )
         state = decide(rollout, *split_answers(answers, rollout), now)
         if state is not None:
             assert self.state is None or state in NEXT_STATES[self.state]
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -428,7 +428,7 @@
     ),
     Weakness(
         "credit in transit counts towards the burst",
-        (Edit("allowances", "UNDER_WAY if self._children else 0.0", "0.0"),),
+        (Edit("allowances", "IN_TRANSIT_SECONDS if self._children else 0.0", "0.0"),),
         (
             "tests.test_allowances_model.TestServedLoad"
             ".test_requests_nearly_as_large_as_the_burst_are_served",
@@ -483,7 +483,7 @@
         (
             Edit(
                 "rollouts",
-                "up_to_date = now - self.as_of <= MAX_DECISION_AGE",
+                "up_to_date = now - self.updated_at <= MAX_DECISION_AGE",
                 "up_to_date = True",
             ),
         ),
