--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -122,7 +122,7 @@
 class TestOrderOfStates(unittest.TestCase):
     def test_a_final_decision_is_never_changed(self):
         for state in (COMPLETED, ROLLED_BACK):
-            rollout = make_rollouts(state).open["engines"]
+            rollout = make_rollouts(state).rollouts_by_pool["engines"]
             for now in (1.0, 11.6, 60.0):
                 found = decide(rollout, {"r": Answers(9, 9)}, {}, now)
                 self.assertIsNone(found)
@@ -143,7 +143,7 @@
         )
 
     def test_a_version_without_answers_is_not_completed(self):
-        rollout = make_rollouts(RUNNING).open["engines"]
+        rollout = make_rollouts(RUNNING).rollouts_by_pool["engines"]
         self.assertEqual(decide(rollout, {}, {}, 11.9), ROLLED_BACK)
 
 
