--- a/src/chervilwing/coordination.py
+++ b/src/chervilwing/coordination.py
@@ -77,7 +77,7 @@
         raise BadConfiguration(f"{key}: {exc}") from exc
 
 
-class Sources(NamedTuple):
+class StoreLayout(NamedTuple):
     """Where the platform keeps the followed items, and how they are decoded.
 
     ``read_document``, ``read_registration`` and ``read_order`` take a key and bytes,
@@ -108,7 +108,7 @@
         rng = random.Random()
         value = encode_peer(Peer(cfg.beacon_listen, cfg.data_centre, cfg.link_rate))
         record = Record(INSTANCES + cfg.name, value)
-        self.tenure = DutyLease(DUTIES, record, cfg.name, cfg.lease, rng)
+        self.duty_lease = DutyLease(DUTIES, record, cfg.name, cfg.lease, rng)
         self._documents = Mirror(sources.documents, CONFIGURATION_WAIT, rng)
         self._registrations = Mirror(
             sources.registrations, REGISTRATIONS_WAIT, rng, REGISTRATIONS_SPACING
@@ -126,11 +126,11 @@
         # Incremented with each change of the peers.
         self.peers_version = 0
 
-    def knows_keys(self):
+    def keys_are_fresh(self):
         """Return whether the knowledge of keys is fresh enough to accept them."""
-        return self.keys_age() < self.cfg.revoke_bound * TRUSTED_FRACTION
+        return self.compute_keys_age() < self.cfg.revoke_bound * TRUSTED_FRACTION
 
-    def keys_age(self):
+    def compute_keys_age(self):
         """Return the maximum age of the knowledge of keys, in seconds."""
         return read_boottime() - self._documents.as_of
 
@@ -151,7 +151,7 @@
     def ready(self):
         """Return whether requests can be served."""
         known = self._gateway.table is not None and self._registrations.complete
-        return known and self.knows_keys()
+        return known and self.keys_are_fresh()
 
     @property
     def passive(self):
@@ -213,13 +213,13 @@
     @property
     def lease(self):
         """Return the lease of this instance's items, or None."""
-        return self.tenure.lease
+        return self.duty_lease.lease
 
     @handler("tick", channel="*")
     def _on_tick(self):
-        self.advance()
+        self.make_due_calls()
 
-    def advance(self):
+    def make_due_calls(self):
         """Make the calls that are due."""
         now = read_boottime()
         self._set_watch_wait()
@@ -231,10 +231,10 @@
                 self._store.submit(
                     call, lambda r, m=mirror, a=apply: self._receive_reply(m, a, r)
                 )
-        call = self.tenure.next_call(now)
+        call = self.duty_lease.next_call(now)
         if call is not None:
             self._store.submit(call, self._receive_duty_reply)
-        if self.tenure.fence(now) is not None:
+        if self.duty_lease.fence(now) is not None:
             self._store_count(now)
         self._gateway.expire_upstreams()
 
@@ -263,12 +263,12 @@
 
     def _receive_duty_reply(self, reply):
         now = read_boottime()
-        fence_before = self.tenure.fence(now)
-        self.tenure.receive(reply, now)
+        fence_before = self.duty_lease.fence(now)
+        self.duty_lease.receive(reply, now)
         self._log_duty(fence_before, now)
 
     def _log_duty(self, fence_before, now):
-        fence = self.tenure.fence(now)
+        fence = self.duty_lease.fence(now)
         if fence != fence_before:
             log_event("duty claim changed", fence=fence or 0, lease=self.lease or 0)
 
@@ -278,7 +278,7 @@
         changed = mirror.receive(reply, now)
         self._log_store_state(mirror, lost, reply)
         self._apply_changes(mirror, apply, changed, now)
-        self.advance()
+        self.make_due_calls()
 
     def _log_store_state(self, mirror, lost, reply):
         if lost is None and mirror.lost_since is not None:
@@ -290,8 +290,8 @@
     def _observe_duty(self, mirror, now):
         if mirror.revision is None:
             return
-        fence_before = self.tenure.fence(now)
-        self.tenure.observe(mirror.items.get(DUTIES), mirror.revision)
+        fence_before = self.duty_lease.fence(now)
+        self.duty_lease.observe(mirror.items.get(DUTIES), mirror.revision)
         self._log_duty(fence_before, now)
 
     def _apply_document(self, item, now):
--- a/src/chervilwing/crash_detection.py
+++ b/src/chervilwing/crash_detection.py
@@ -146,7 +146,7 @@
         if cfg.routes or self._gateway.registrations_fresh_since() > lapsed_at:
             return
         for name in self._records.list_crashed(lapsed_at):
-            if name in self._gateway.registry.members:
+            if name in self._gateway.registry.upstreams:
                 self._crashed.pop(name, None)
                 self._records.record_alive(name, now, now)
                 log_event("upstream not crashed", upstream=name)
--- a/src/chervilwing/credit_exchange.py
+++ b/src/chervilwing/credit_exchange.py
@@ -6,7 +6,7 @@
 from .clocks import read_boottime
 from .credit import Grant, read_claim
 from .credit_parents import CLAIM_RETRY_INTERVAL, ParentChoice
-from .leader_queries import rank
+from .leader_queries import rank_leaders
 from .logs import log_event
 
 # Kinds of datagrams.
@@ -21,17 +21,17 @@
 WAITING_CLAIM_INTERVAL = 0.05
 
 
-class Delegation(BaseComponent):
+class CreditExchange(BaseComponent):
     """Claim credit from the instance's parent, and grant it to its children."""
 
     channel = "credit-exchange"
 
-    def __init__(self, cfg, datagrams, coordinator, neighbours, gateway):
+    def __init__(self, cfg, datagrams, coordinator, report_exchange, gateway):
         super().__init__()
         self._name = cfg.name
         self._datagrams = datagrams
         self._coordinator = coordinator
-        self._neighbours = neighbours
+        self._report_exchange = report_exchange
         self._gateway = gateway
         self._allowances = gateway.allowances
         self._limits = gateway.upstream_limits
@@ -50,7 +50,7 @@
     def _on_tick(self):
         now = read_boottime()
         self._allowances.advance(now)
-        self._limits.expire(self._gateway.registry.members, now)
+        self._limits.expire(self._gateway.registry.upstreams, now)
         self._rank()
         before = self._choice.parent
         parent = self._choice.choose(self._group_names, self._all_names, now)
@@ -67,9 +67,9 @@
         if self._peers_version == self._coordinator.peers_version:
             return
         self._peers_version = self._coordinator.peers_version
-        group = set(self._neighbours.list_group())
+        group = set(self._report_exchange.list_group())
         names = [self._name, *self._coordinator.peers]
-        names = rank(names, self._coordinator.list_links())
+        names = rank_leaders(names, self._coordinator.list_links())
         self._all_names = names[: names.index(self._name)]
         self._group_names = [name for name in self._all_names if name in group]
 
--- a/src/chervilwing/duty_leases.py
+++ b/src/chervilwing/duty_leases.py
@@ -78,11 +78,11 @@
             return None
         return self._fence
 
-    def note_act(self, now):
+    def record_act(self, now):
         """Record a call that was made under the present fencing number."""
         self._last_act_at, self._last_act_fence = now, self._fence
 
-    def drop(self):
+    def give_up(self):
         """Give the duty up after a higher fencing number was seen."""
         self._fence = 0
 
--- a/src/chervilwing/gateway.py
+++ b/src/chervilwing/gateway.py
@@ -121,7 +121,7 @@
 
     def put_upstream(self, registration):
         """Add or update a registered upstream."""
-        previous = self.registry.put(registration)
+        previous = self.registry.add(registration)
         if previous is not None:
             self.crash_detection.handle_restarted(previous, read_boottime())
             self.upstream_limits.record_restart(registration.name, read_boottime())
--- a/src/chervilwing/gatewayd.py
+++ b/src/chervilwing/gatewayd.py
@@ -12,7 +12,7 @@
 from .connections import Client
 from .coordination import Coordinator
 from .crash_saver import CrashSaver
-from .credit_exchange import Delegation
+from .credit_exchange import CreditExchange
 from .datagrams import Datagrams
 from .exceptions import NotFound
 from .gateway import CurrentLimits, Gateway
@@ -21,7 +21,7 @@
 from .logs import NonBlockingSink, count_dropped, log_event, set_up_logs
 from .placement_exchange import Placing
 from .pollers import DirectPoller
-from .report_exchange import Neighbours
+from .report_exchange import ReportExchange
 from .reports import CONTENT_TYPE, render_metrics
 from .rollout_duty import RolloutDuty
 from .routing import CallerLimits
@@ -72,8 +72,8 @@
             self._coordinator.registrations_fresh_since
         )
         self._usage_parts = UsageParts(cfg, self._store, agreed_time).register(self)
-        self.gateway.on_usage = self._usage_parts.count
-        neighbours = Neighbours(
+        self.gateway.on_usage = self._usage_parts.count_request
+        report_exchange = ReportExchange(
             cfg,
             datagrams,
             self._coordinator,
@@ -81,13 +81,13 @@
             self._usage_parts,
             agreed_time,
         ).register(self)
-        self._usage_parts.stores = lambda: neighbours.leads
-        Delegation(
-            cfg, datagrams, self._coordinator, neighbours, self.gateway
+        self._usage_parts.is_storing = lambda: report_exchange.is_leader
+        CreditExchange(
+            cfg, datagrams, self._coordinator, report_exchange, self.gateway
         ).register(self)
         Placing(cfg, datagrams, self._coordinator, self.gateway).register(self)
         if not cfg.routes:
-            is_leader = lambda: neighbours.leads
+            is_leader = lambda: report_exchange.is_leader
             CrashSaver(self._store, self.gateway, is_leader).register(self)
         if cfg.cloud is not None:
             cloud = adapter.make_cloud(cfg, platform)
@@ -110,7 +110,7 @@
         Timer(TICK, tick(), "*", persist=True).register(self)
 
     def _keys_are_fresh(self):
-        return self._coordinator.knows_keys()
+        return self._coordinator.keys_are_fresh()
 
     def _listen(self, poller):
         cfg = self.cfg
@@ -146,11 +146,11 @@
         gauges = {
             "gateway_in_flight": len(gateway.relays),
             "gateway_callers": gateway.web.count(),
-            "gateway_upstreams": len(gateway.registry.members),
+            "gateway_upstreams": len(gateway.registry.upstreams),
             "gateway_configuration_version": version,
-            "gateway_keys_age_seconds": round(self._coordinator.keys_age(), 3),
-            "gateway_fence": self._coordinator.tenure.fence(now) or 0,
-            "gateway_usage_heard": self._usage_parts.count_heard(),
+            "gateway_keys_age_seconds": round(self._coordinator.compute_keys_age(), 3),
+            "gateway_fence": self._coordinator.duty_lease.fence(now) or 0,
+            "gateway_usage_heard": self._usage_parts.count_reported(),
             "gateway_requests_suspected": suspected,
             "gateway_requests_barred": barred,
             "gateway_upstreams_limited": gateway.upstream_limits.count(),
@@ -160,7 +160,7 @@
 
     @handler("started", channel="*")
     def _on_started(self, *args):
-        self._usage_parts.counter.begin(time.time())
+        self._usage_parts.counter.start(time.time())
         # By default SIGHUP would end the process; circuits handles only SIGINT and
         # SIGTERM.
         signal.signal(signal.SIGHUP, self._request_reload)
@@ -170,7 +170,7 @@
             data_centre=self.cfg.data_centre,
             **self._listen_ports,
         )
-        self._coordinator.advance()
+        self._coordinator.make_due_calls()
 
     @handler("signal", channel="*", priority=1)
     def _on_signal(self, event, number, stack):
@@ -221,7 +221,7 @@
             return
         if not self.gateway.draining:
             self.gateway.draining = True
-            self._usage_parts.write_open_windows()
+            self._usage_parts.write_unstored()
             if self._coordinator.lease is not None:
                 call = EndLease(self._coordinator.lease)
                 self._store.submit(call, lambda reply: None)
--- a/src/chervilwing/instance_orders.py
+++ b/src/chervilwing/instance_orders.py
@@ -35,7 +35,7 @@
         for name, pool in self._gateway.pools.items():
             if pool.spec.fleet is not None:
                 self._measure(name, pool, now)
-        fence = self._coordinator.tenure.fence(now)
+        fence = self._coordinator.duty_lease.fence(now)
         if fence != self._fence:
             self._fence = fence
             for sizing in self._sizings.values():
@@ -63,7 +63,7 @@
 
     def _order(self, pool, sizing, kind, count):
         self._order_pending = True
-        self._coordinator.tenure.note_act(read_boottime())
+        self._coordinator.duty_lease.record_act(read_boottime())
         log_event(
             "instances ordered",
             pool=pool,
@@ -97,7 +97,7 @@
             log_event(
                 "fencing number outdated", fence=self._fence or 0, detail=reply.text
             )
-            self._coordinator.tenure.drop()
+            self._coordinator.duty_lease.give_up()
         else:
             log_event("order not answered", status=reply.status)
             self._retry_at = now + RETRY_INTERVAL
--- a/src/chervilwing/leader_queries.py
+++ b/src/chervilwing/leader_queries.py
@@ -17,7 +17,7 @@
 # instances each watched the store, every change would wake all of them, and each would
 # make a call that is charged for. With rarer queries, the reported loads would be too
 # old to choose upstreams by.
-ASK_EVERY = 0.4
+QUERY_INTERVAL = 0.4
 MIN_QUERY_INTERVAL = 0.2
 # Queries a second that a leader answers to its group: 0.5 % of a core.
 QUERIES_PER_SECOND = 60.0
@@ -34,9 +34,10 @@
 # Seconds by which knowledge from a reply must be younger than the bound within which a
 # change must be applied. The next query then detects a leader that lost the store, and
 # 0.3 s remain to query the store and apply its answer.
-REACTION_TIME = ASK_EVERY + 0.3
+REACTION_TIME = QUERY_INTERVAL + 0.3
 # Oldest knowledge, in seconds, that a reply may bring under the shortest bound, 2 s. A
-# watch of 0.4 s proves what is up to 0.8 s old; a query to a follower adds ASK_EVERY.
+# watch of 0.4 s proves what is up to 0.8 s old; a query to a follower adds
+# QUERY_INTERVAL.
 MAX_FRESH_AGE = 2.0 - REACTION_TIME
 # Number of leaders that watch the store, where the bounds leave time for the other
 # leaders to query them. With hundreds of instances in ten groups, ten watching leaders
@@ -45,8 +46,8 @@
 MAX_WATCHERS = 2
 # Maximum age, in seconds, up to which every leader watches the store itself: a watch
 # proves what is up to 0.8 s old, and the queries of a leader and its follower add
-# ASK_EVERY each.
-ALL_LEADERS_WATCH_AGE = 0.8 + 2 * ASK_EVERY
+# QUERY_INTERVAL each.
+ALL_LEADERS_WATCH_AGE = 0.8 + 2 * QUERY_INTERVAL
 # Mbit/s of a machine's link above which a faster link ranks no higher: a leader sends
 # its group some 5 Mbit/s in bursts.
 AMPLE_LINK_RATE = 100.0
@@ -61,7 +62,7 @@
     at: float
 
 
-def rank(names, links=NO_LINKS):
+def rank_leaders(names, links=NO_LINKS):
     """Return the names in the order in which they lead, the same at all instances.
 
     ``links`` are the Mbit/s of the machines' links. In bursts callers fill the link of
@@ -73,7 +74,7 @@
     return sorted(names, key=lambda name: (-link_rates[name], hash_text(name), name))
 
 
-def arrange(centres, links=NO_LINKS):
+def form_groups(centres, links=NO_LINKS):
     """Return the ranked names of each group, given the names by data centre.
 
     Groups are derived from the names alone, so that all instances form the same ones.
@@ -81,7 +82,7 @@
     groups = {}
     for centre, names in centres.items():
         count = ceil(len(names) / MAX_GROUP_SIZE)
-        for name in rank(names, links):
+        for name in rank_leaders(names, links):
             group = f"{centre}/{hash_text(name) % count}"
             groups.setdefault(group, []).append(name)
     return groups
@@ -89,10 +90,10 @@
 
 def compute_query_interval(size):
     """Return the seconds between two queries in a group of ``size`` instances."""
-    return min(ASK_EVERY, max(MIN_QUERY_INTERVAL, size / QUERIES_PER_SECOND))
+    return min(QUERY_INTERVAL, max(MIN_QUERY_INTERVAL, size / QUERIES_PER_SECOND))
 
 
-class Fanout:
+class LeaderQueries:
     """State of the queries to one group; times are seconds on one clock.
 
     ``max_age`` is the age in seconds up to which knowledge counts as fresh.
@@ -125,7 +126,7 @@
             self._next_query_at = now
         return target
 
-    def next_question(self, now, interval=ASK_EVERY):
+    def next_query(self, now, interval=QUERY_INTERVAL):
         """Return the number of the query to send to the target now, or None."""
         if self._pending is not None and now - self._pending.at >= REPLY_TIMEOUT:
             self._record_miss(now)
--- a/src/chervilwing/local_gateway.py
+++ b/src/chervilwing/local_gateway.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from .coordination import Sources
+from .coordination import StoreLayout
 from .dialects import PLAIN, Dialect
 from .gateway_settings import read_gateway_settings
 from .gatewayd import main
@@ -17,7 +17,7 @@
 
     make_store: Callable = lambda cfg, client: LocalStore(cfg)
     make_cloud: Callable | None = None
-    sources: Sources = SOURCES
+    sources: StoreLayout = SOURCES
     dialect: Dialect = PLAIN
 
 
--- a/src/chervilwing/local_stores.py
+++ b/src/chervilwing/local_stores.py
@@ -5,7 +5,7 @@
 from circuits.core import BaseComponent, handler
 
 from .clocks import read_boottime
-from .coordination import Sources
+from .coordination import StoreLayout
 from .exceptions import BadConfiguration
 from .logs import log_event
 from .routing_files import parse_file
@@ -134,6 +134,6 @@
     KeepLease: LocalStore._answer_lease_call,
     EndLease: LocalStore._answer_lease_call,
 }
-SOURCES = Sources(
+SOURCES = StoreLayout(
     DOCUMENT_PREFIX, UPSTREAM_PREFIX, lambda key, value: value, lambda key, value: value
 )
--- a/src/chervilwing/placement_exchange.py
+++ b/src/chervilwing/placement_exchange.py
@@ -10,7 +10,7 @@
 
 from .balancing import Estimate, PlacementOrigin, PoolBalancer
 from .clocks import read_boottime
-from .leader_queries import rank
+from .leader_queries import rank_leaders
 from .logs import log_event
 from .placer_selection import (
     ANSWER_TIMEOUT,
@@ -109,7 +109,7 @@
         peers = self._coordinator.peers
         near = {n for n, p in peers.items() if p.data_centre == self._cfg.data_centre}
         links = self._coordinator.list_links()
-        ranked = rank([self._cfg.name, *peers], links)
+        ranked = rank_leaders([self._cfg.name, *peers], links)
         self._placer_names = order_placers(ranked, near | {self._cfg.name})
 
     def _select_placer(self, now):
--- a/src/chervilwing/platform/documents.py
+++ b/src/chervilwing/platform/documents.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ..addresses import parse_address
-from ..coordination import Sources
+from ..coordination import StoreLayout
 from ..exceptions import BadConfiguration
 from ..registrations import Registration
 from ..rollouts import RolloutOrder
@@ -210,7 +210,7 @@
     return (ROLLOUT_STATUS_PREFIX + pool, value, 0)
 
 
-SOURCES = Sources(
+SOURCES = StoreLayout(
     "op/",
     REGISTRATION_PREFIX,
     read_document,
--- a/src/chervilwing/registrations.py
+++ b/src/chervilwing/registrations.py
@@ -36,18 +36,18 @@
     """All known upstreams by name; times are seconds on one clock."""
 
     def __init__(self):
-        self.members = {}
+        self.upstreams = {}
         self._missing = {}
 
-    def put(self, registration):
+    def add(self, registration):
         """Apply a new or changed registration; return the one that it ends, or None.
 
         An upstream may restart under its name. Its cached prompts are gone then, and
         requests sent over connections to the previous process would be lost.
         """
         self._missing.pop(registration.name, None)
-        known = self.members.get(registration.name)
-        self.members[registration.name] = registration
+        known = self.upstreams.get(registration.name)
+        self.upstreams[registration.name] = registration
         if known is None or known.started_at == registration.started_at:
             return None
         return known
@@ -60,7 +60,7 @@
         dropped at once, a whole pool would vanish and every caller be refused. Kept
         longer, an upstream that really left would still get requests when it ends.
         """
-        if name not in self.members:
+        if name not in self.upstreams:
             return False
         if now < regained_at + LAPSE_GRACE:
             self._missing[name] = regained_at + LAPSE_GRACE
@@ -71,7 +71,7 @@
     def drop(self, name):
         """Remove an entry at once."""
         self._missing.pop(name, None)
-        self.members.pop(name, None)
+        self.upstreams.pop(name, None)
 
     def expire(self, now):
         """Drop the entries that did not return in time; return their names."""
--- a/src/chervilwing/report_exchange.py
+++ b/src/chervilwing/report_exchange.py
@@ -26,10 +26,10 @@
     ALL_LEADERS_WATCH_AGE,
     MAX_WATCHERS,
     REACTION_TIME,
-    Fanout,
-    arrange,
+    LeaderQueries,
     compute_query_interval,
-    rank,
+    form_groups,
+    rank_leaders,
 )
 from .logs import log_event
 from .mirrors import News
@@ -58,7 +58,7 @@
     return News(age, regained, revision, items, more, keys)
 
 
-class Neighbours(BaseComponent):
+class ReportExchange(BaseComponent):
     """Query the instance that watches the store, and answer queries of others."""
 
     channel = "report-exchange"
@@ -82,10 +82,10 @@
         self._peers_version = None
         self._max_age = min(cfg.apply_bound, cfg.leave_bound) - REACTION_TIME
         # Queries to the instance that leads this one's group.
-        self._leader = Fanout(self._max_age)
+        self._leader = LeaderQueries(self._max_age)
         # Queries to a fallback that may know the state of the store where the leader
         # doesn't.
-        self._fallback = Fanout(self._max_age)
+        self._fallback = LeaderQueries(self._max_age)
         # Address and time of the last query from, or fallback reply by, each instance.
         self._queriers = {}
         # Queries to each other group; used while this instance leads.
@@ -106,14 +106,14 @@
         now = read_boottime()
         self._form_groups()
         self._choose_targets(now)
-        if not self.leads:
+        if not self.is_leader:
             self._query(self._group, self._leader, now)
             return
         self._query_others(now)
         self._apply_own_report(now)
 
     @property
-    def leads(self):
+    def is_leader(self):
         """Return whether this instance leads its group."""
         return self._leader.target is None
 
@@ -132,7 +132,7 @@
         for name, peer in peers.items():
             centres.setdefault(peer.data_centre, []).append(name)
         self._links = self._coordinator.list_links()
-        self._groups = arrange(centres, self._links)
+        self._groups = form_groups(centres, self._links)
         self._group = next(
             group for group, names in self._groups.items() if self._cfg.name in names
         )
@@ -147,7 +147,7 @@
         names = self._groups[self._group]
         rank_in_group = names.index(self._cfg.name)
         claim_delay = min(MAX_CLAIM_DELAY, rank_in_group * CLAIM_DELAY_STEP)
-        self._coordinator.tenure.claim_delay = claim_delay
+        self._coordinator.duty_lease.claim_delay = claim_delay
         before = self._leader.target
         leader = self._leader.choose(names[:rank_in_group], now)
         if leader != before:
@@ -205,28 +205,28 @@
             return []
         queried = {g: self._others[g] for g in self._groups if g in self._others}
         targets = {item.target: group for group, item in queried.items() if item.target}
-        first = rank([self._cfg.name, *targets], self._links)[:MAX_WATCHERS]
+        first = rank_leaders([self._cfg.name, *targets], self._links)[:MAX_WATCHERS]
         return [] if self._cfg.name in first else [targets[name] for name in first]
 
     def _query_others(self, now):
         for group in self._groups.keys() - {self._group}:
-            fanout = self._others.setdefault(group, Fanout(self._max_age))
-            if fanout.choose(self._groups[group], now) is not None:
-                self._query(group, fanout, now)
+            queries = self._others.setdefault(group, LeaderQueries(self._max_age))
+            if queries.choose(self._groups[group], now) is not None:
+                self._query(group, queries, now)
 
-    def _query(self, group, fanout, now):
+    def _query(self, group, queries, now):
         count = len(self._groups[self._group])
-        if fanout is not self._leader:
+        if queries is not self._leader:
             # Each of the other leaders queries this one too.
             count = 2 * len(self._groups)
         interval = compute_query_interval(count)
-        number = fanout.next_question(now, interval)
+        number = queries.next_query(now, interval)
         if number is None:
             return
         report = self._sent_reports[group] = self._make_report()
         wants_news = group in (self._group, FALLBACK, *self._list_watching_groups())
         revisions = self._coordinator.list_revisions() if wants_news else None
-        address = self._find_address(fanout.target)
+        address = self._find_address(queries.target)
         self._datagrams.send(QUERY, (number, group, revisions, report), address)
 
     def _make_report(self):
@@ -275,7 +275,7 @@
         news = sums = None
         if revisions is not None and self._shares_store_state:
             news = self._coordinator.list_news(revisions, now)
-        if self.leads:
+        if self.is_leader:
             sums = (
                 self._sum_all(now) if same_group else self._group_sums.compute_sums(now)
             )
@@ -306,13 +306,13 @@
     def _receive_reply(self, address, number, group, leader, news, reply):
         """Apply a reply."""
         now = read_boottime()
-        fanout = self._find_fanout(group)
-        if fanout is None:
+        queries = self._find_queries(group)
+        if queries is None:
             return
         news = [None if item is None else read_news(*item) for item in news or ()]
         age = self._coordinator.compute_age(news) if news else float("inf")
         more = any(item is not None and item.more for item in news)
-        query = fanout.receive(number, age, more, now)
+        query = queries.receive(number, age, more, now)
         if query is None:
             return
         if news:
@@ -322,13 +322,13 @@
         self._apply_cached_prompts(reply.cached_prompts)
         self._apply_crashes(reply.crashes, now)
         self._parts.mark_stored(report, reply.stored)
-        if fanout is self._fallback:
+        if queries is self._fallback:
             self._queriers[query.name] = (address, now)
-            if not fanout.fresh or not self._is_sufficient(news):
-                fanout.avoid_target(now)
+            if not queries.fresh or not self._is_sufficient(news):
+                queries.avoid_target(now)
         elif reply.sums is None:
-            fanout.prefer(leader, now)
-        elif fanout is self._leader:
+            queries.prefer(leader, now)
+        elif queries is self._leader:
             self._agreed_time.adopt(reply.time_of_day, now)
             others = subtract_counts(reply.sums, report.counts)
             self._apply_sums((reply.name, reply.incarnation), others, now)
@@ -352,7 +352,7 @@
         for pool in self._gateway.pools.values():
             pool.add_reported_prompts(cached_prompts)
 
-    def _find_fanout(self, group):
+    def _find_queries(self, group):
         if group == FALLBACK:
             return self._fallback
         return self._leader if group == self._group else self._others.get(group)
--- a/src/chervilwing/rollout_duty.py
+++ b/src/chervilwing/rollout_duty.py
@@ -44,7 +44,7 @@
         ):
             return
         self._next_evaluation = now + EVALUATE_INTERVAL
-        if self._coordinator.tenure.fence(now) is None:
+        if self._coordinator.duty_lease.fence(now) is None:
             return
         for rollout in self._rollouts.rollouts_by_pool.values():
             if self._advance(rollout):
@@ -72,7 +72,7 @@
         )
         status = self._write_status(rollout.order.pool, target, state)
         self._busy = True
-        self._coordinator.tenure.note_act(read_boottime())
+        self._coordinator.duty_lease.record_act(read_boottime())
         commit = make_commit(rollout, decision, status)
         self._store.submit(
             commit, lambda reply: self._written(rollout.order.pool, decision, reply)
--- a/src/chervilwing/usage.py
+++ b/src/chervilwing/usage.py
@@ -37,7 +37,7 @@
         # After a late count, the stored counts of the window are out of date.
         self._stored.discard(window)
 
-    def begin(self, now):
+    def start(self, now):
         """Start counting with the present window."""
         self._first = int(now // self.length)
 
--- a/src/chervilwing/usage_reports.py
+++ b/src/chervilwing/usage_reports.py
@@ -62,7 +62,7 @@
     def __init__(self, cfg, store, agreed_time):
         super().__init__()
         self.counter = UsageCounter(cfg.usage_window)
-        self.stores = lambda: True
+        self.is_storing = lambda: True
         self._store = store
         self._agreed_time = agreed_time
         # A process's counts never replace those of the previous process.
@@ -79,7 +79,7 @@
         """Return the Unix time in seconds that the instances agree on."""
         return self._agreed_time.read(time.time(), read_boottime())
 
-    def count(self, organisation, seconds_ago):
+    def count_request(self, organisation, seconds_ago):
         """Count a request that began to run ``seconds_ago``."""
         self.counter.count(organisation, self.read_time() - seconds_ago)
 
@@ -112,7 +112,7 @@
             (self._group_counts.find(window), self._other_counts.find(window))
         )
 
-    def count_heard(self):
+    def count_reported(self):
         """Return the number of requests counted here or reported to this instance."""
         return self._group_counts.count()
 
@@ -120,7 +120,7 @@
         """Return whether no write of counts is pending."""
         return not self._pending_writes
 
-    def write_open_windows(self):
+    def write_unstored(self):
         """Write all unstored counts, the present window's too, before exit."""
         windows = self.list_unstored()
         self._group_counts.add(self._process, windows)
@@ -130,7 +130,7 @@
     @handler("tick", channel="*")
     def _on_tick(self):
         now = read_boottime()
-        if self._pending_writes or now < self._retry_at or not self.stores():
+        if self._pending_writes or now < self._retry_at or not self.is_storing():
             return
         window = self._find_due(self.read_time())
         if window is not None:
@@ -193,7 +193,7 @@
     @handler("tick", channel="*")
     def _on_tick(self):
         now = read_boottime()
-        fence = self._coordinator.tenure.fence(now)
+        fence = self._coordinator.duty_lease.fence(now)
         if fence != self._fence:
             self._fence, self._report_read = fence, False
         if fence is None or self._call_pending or now < self._retry_at:
@@ -323,7 +323,7 @@
 
     def _send(self, now):
         self._call_pending = True
-        self._coordinator.tenure.note_act(now)
+        self._coordinator.duty_lease.record_act(now)
         call = ReportUsage(
             self._report.window,
             self._report.counts,
@@ -341,7 +341,7 @@
             log_event(
                 "fencing number outdated", fence=self._fence or 0, detail=reply.text
             )
-            self._coordinator.tenure.drop()
+            self._coordinator.duty_lease.give_up()
         else:
             log_event("usage not reported", reply=type(reply).__name__)
             self._retry_later()
--- a/tests/crash_fleet.py
+++ b/tests/crash_fleet.py
@@ -10,7 +10,7 @@
 
 from chervilwing.crash_records import CrashRecords, Suspicion
 from chervilwing.exceptions import RequestBarred
-from chervilwing.leader_queries import ASK_EVERY, Fanout, arrange
+from chervilwing.leader_queries import QUERY_INTERVAL, LeaderQueries, form_groups
 from chervilwing.stored_crashes import decode_crash, encode_crash
 
 STEP = 0.05
@@ -71,8 +71,8 @@
         self.centre = centre
         self.fault_at = now
         self.records = CrashRecords(name)
-        self.leader_fanout = Fanout()
-        self.group_fanouts = {}
+        self.leader_queries = LeaderQueries()
+        self.group_queries = {}
         self.store_position = 0
 
 
@@ -126,7 +126,7 @@
         centres = {}
         for node in self.nodes.values():
             centres.setdefault(node.centre, []).append(node.name)
-        self.groups = arrange(centres)
+        self.groups = form_groups(centres)
         self.group_by_name = {n: g for g, names in self.groups.items() for n in names}
 
     def cut(self, names, store=True, others=True):
@@ -271,20 +271,20 @@
     def _exchange_news(self, node):
         names = self.groups[self.group_by_name[node.name]]
         before = names[: names.index(node.name)]
-        if node.leader_fanout.choose(before, self.now) is not None:
-            self._ask(node, node.leader_fanout)
+        if node.leader_queries.choose(before, self.now) is not None:
+            self._ask(node, node.leader_queries)
             return
         for group, others in self.groups.items():
             if group != self.group_by_name[node.name]:
-                fanout = node.group_fanouts.setdefault(group, Fanout())
-                if fanout.choose(others, self.now) is not None:
-                    self._ask(node, fanout)
+                queries = node.group_queries.setdefault(group, LeaderQueries())
+                if queries.choose(others, self.now) is not None:
+                    self._ask(node, queries)
 
-    def _ask(self, node, fanout):
-        number = fanout.next_question(self.now, ASK_EVERY)
-        if number is None or not self._reaches(node.name, fanout.target):
+    def _ask(self, node, queries):
+        number = queries.next_query(self.now, QUERY_INTERVAL)
+        if number is None or not self._reaches(node.name, queries.target):
             return
-        other = self.nodes.get(fanout.target)
+        other = self.nodes.get(queries.target)
         same_group = self.group_by_name[node.name] == self.group_by_name[other.name]
         for report in node.records.list_reports(self.now):
             other.records.apply_reports(report, self.now, same_group)
@@ -292,12 +292,12 @@
             return
         for report in other.records.list_reports(self.now):
             node.records.apply_reports(report, self.now)
-        fanout.receive(number, 0.0, False, self.now)
+        queries.receive(number, 0.0, False, self.now)
 
     def _follow_store(self, node):
         if node.name in self.no_store:
             return
-        if node.leader_fanout.target is None:
+        if node.leader_queries.target is None:
             while (write := node.records.stored.pop_write(self.now)) is not None:
                 self._write(write)
         else:
--- a/tests/test_duty_leases.py
+++ b/tests/test_duty_leases.py
@@ -113,7 +113,7 @@
         # A acts, loses the duty to B and gets it back at once: the platform would see
         # A, B, A within one lease.
         self.hold(9)
-        self.duty.note_act(0.5)
+        self.duty.record_act(0.5)
         self.duty.observe(Item("duty", b"two/3", 12), 12)
         self.duty.observe(None, 14)
         self.answer(Committed(15), 0.6)
--- a/tests/test_duty_leases_randomised.py
+++ b/tests/test_duty_leases_randomised.py
@@ -153,7 +153,7 @@
             fence = duty.fence(now)
             if fence is not None:
                 self.acts.append((now, number, fence))
-                duty.note_act(now)
+                duty.record_act(now)
 
     def run(self, faults_end=LENGTH):
         """Run to the end and return all acts; faults occur until ``faults_end``."""
--- a/tests/test_leader_queries.py
+++ b/tests/test_leader_queries.py
@@ -4,15 +4,15 @@
 from collections import Counter
 
 from chervilwing.leader_queries import (
-    ASK_EVERY,
     AVOID_SECONDS,
     MAX_FRESH_AGE,
     MAX_GROUP_SIZE,
+    QUERY_INTERVAL,
     REPLY_TIMEOUT,
-    Fanout,
-    arrange,
+    LeaderQueries,
     compute_query_interval,
-    rank,
+    form_groups,
+    rank_leaders,
 )
 
 # Queries a second that one instance may get: each takes 0.1 ms of processor time.
@@ -30,10 +30,10 @@
 class TestGroups(unittest.TestCase):
     def test_each_instance_is_in_one_group_of_its_data_centre(self):
         fleet = make_fleet(90)
-        groups = arrange(fleet)
+        groups = form_groups(fleet)
         for group, names in groups.items():
             self.assertLessEqual(set(names), set(fleet[group.partition("/")[0]]))
-            self.assertEqual(names, rank(names))
+            self.assertEqual(names, rank_leaders(names))
         counted = Counter(name for names in groups.values() for name in names)
         self.assertEqual(counted, Counter(sum(fleet.values(), [])))
 
@@ -44,7 +44,7 @@
         fleet = make_fleet(90)
         links = dict.fromkeys(sum(fleet.values(), []), 10.0)
         ample = {names[-1]: 200.0 for names in fleet.values()}
-        groups = arrange(fleet, {**links, **ample})
+        groups = form_groups(fleet, {**links, **ample})
         for names in groups.values():
             if ample.keys() & set(names):
                 self.assertIn(names[0], ample)
@@ -52,13 +52,13 @@
     def test_link_beyond_ample_ranks_no_higher(self):
         names = [f"entry-{number}" for number in range(9)]
         links = {name: 200.0 + at for at, name in enumerate(names)}
-        self.assertEqual(rank(names, links), rank(names))
+        self.assertEqual(rank_leaders(names, links), rank_leaders(names))
 
     def test_query_rate_stays_bounded_as_the_fleet_grows(self):
         # When every instance reported to all others, 90 instances sent each of them 360
         # datagrams a second.
         for count, centres in ((7, "abc"), (16, "abc"), (90, "abcd"), (320, "abcde")):
-            groups = arrange(make_fleet(count, centres))
+            groups = form_groups(make_fleet(count, centres))
             mean = count / len(groups)
             rate = mean / compute_query_interval(mean)
             rate += len(groups) / compute_query_interval(2 * len(groups))
@@ -68,54 +68,54 @@
 
 class TestLeaderQueries(unittest.TestCase):
     def setUp(self):
-        self.fanout = Fanout()
+        self.queries = LeaderQueries()
 
     def exchange(self, names, now, age=0.0):
         """Send and answer one query; return which instance was queried."""
-        target = self.fanout.choose(names, now)
-        number = self.fanout.next_question(now)
+        target = self.queries.choose(names, now)
+        number = self.queries.next_query(now)
         if number is not None:
-            self.fanout.receive(number, age, False, now)
+            self.queries.receive(number, age, False, now)
         return target
 
     def test_first_ranked_instance_is_queried(self):
         self.assertEqual(self.exchange(["one", "two"], 0.0), "one")
-        self.assertIsNone(self.fanout.choose([], 0.1))
+        self.assertIsNone(self.queries.choose([], 0.1))
 
     def test_dead_leader_is_left_after_two_queries(self):
         # The leader is killed, and no query to it is answered. A changed configuration
         # must still be applied within two seconds.
         now, names = 0.0, ["one", "two"]
         self.exchange(names, now)
-        while self.fanout.choose(names, now) == "one":
-            self.fanout.next_question(now)
+        while self.queries.choose(names, now) == "one":
+            self.queries.next_query(now)
             now += 0.05
-        self.assertLessEqual(now, ASK_EVERY + 3 * REPLY_TIMEOUT)
+        self.assertLessEqual(now, QUERY_INTERVAL + 3 * REPLY_TIMEOUT)
 
     def test_one_lost_datagram_changes_no_target(self):
-        self.fanout.choose(["one", "two"], 0.0)
-        self.fanout.next_question(0.0)
+        self.queries.choose(["one", "two"], 0.0)
+        self.queries.next_query(0.0)
         now = REPLY_TIMEOUT
-        number = self.fanout.next_question(now)
+        number = self.queries.next_query(now)
         self.assertIsNotNone(number)
-        self.fanout.receive(number, 0.0, False, now)
-        self.assertEqual(self.fanout.choose(["one", "two"], now), "one")
+        self.queries.receive(number, 0.0, False, now)
+        self.assertEqual(self.queries.choose(["one", "two"], now), "one")
 
     def test_reply_of_a_leader_without_the_store_is_not_fresh(self):
         # A leader that lost the store goes on replying with what it knew. Taken as
         # fresh, a revoked key would stay valid at all its followers.
-        self.assertFalse(self.fanout.fresh)
+        self.assertFalse(self.queries.fresh)
         self.exchange(["one", "two"], 0.0)
-        self.assertTrue(self.fanout.fresh)
+        self.assertTrue(self.queries.fresh)
         self.exchange(["one", "two"], 1.0, age=MAX_FRESH_AGE + 0.1)
-        self.assertFalse(self.fanout.fresh)
+        self.assertFalse(self.queries.fresh)
         # It is still queried: reported loads don't depend on the store.
-        self.assertEqual(self.fanout.choose(["one", "two"], 1.1), "one")
+        self.assertEqual(self.queries.choose(["one", "two"], 1.1), "one")
 
     def test_dead_leader_is_queried_again_after_a_while(self):
         now, names = 0.0, ["one", "two"]
-        while self.fanout.choose(names, now) == "one":
-            self.fanout.next_question(now)
+        while self.queries.choose(names, now) == "one":
+            self.queries.next_query(now)
             now += 0.05
         self.assertEqual(self.exchange(names, now + AVOID_SECONDS - 0.1), "two")
         self.assertEqual(self.exchange(names, now + AVOID_SECONDS + 0.1), "one")
@@ -123,21 +123,21 @@
     def test_reply_to_an_older_query_is_ignored(self):
         # After a freeze the reply to an older query arrives; counted from the newest
         # query, its knowledge would look fresh.
-        self.fanout.choose(["one"], 0.0)
-        old = self.fanout.next_question(0.0)
-        new = self.fanout.next_question(REPLY_TIMEOUT)
-        self.assertIsNone(self.fanout.receive(old, 0.0, False, REPLY_TIMEOUT))
-        query = self.fanout.receive(new, 0.0, False, 9.0)
+        self.queries.choose(["one"], 0.0)
+        old = self.queries.next_query(0.0)
+        new = self.queries.next_query(REPLY_TIMEOUT)
+        self.assertIsNone(self.queries.receive(old, 0.0, False, REPLY_TIMEOUT))
+        query = self.queries.receive(new, 0.0, False, 9.0)
         self.assertEqual(query.at, REPLY_TIMEOUT)
 
     def test_remaining_changes_are_queried_at_once(self):
-        self.fanout.choose(["one"], 0.0)
-        number = self.fanout.next_question(0.0)
-        self.fanout.receive(number, 0.0, True, 0.01)
-        self.assertIsNotNone(self.fanout.next_question(0.01))
+        self.queries.choose(["one"], 0.0)
+        number = self.queries.next_query(0.0)
+        self.queries.receive(number, 0.0, True, 0.01)
+        self.assertIsNotNone(self.queries.next_query(0.01))
 
     def test_named_leader_is_queried(self):
         self.exchange(["one", "two", "three"], 0.0)
-        self.fanout.prefer("three", 0.1)
+        self.queries.prefer("three", 0.1)
         self.assertEqual(self.exchange(["one", "two", "three"], 0.1), "three")
-        self.assertEqual(self.fanout.choose(["one", "two"], 0.2), "one")
+        self.assertEqual(self.queries.choose(["one", "two"], 0.2), "one")
--- a/tests/test_report_exchange.py
+++ b/tests/test_report_exchange.py
@@ -2,12 +2,12 @@
 
 import json
 
-from chervilwing.leader_queries import rank
+from chervilwing.leader_queries import rank_leaders
 from tests.fakes.control import HOST
 from tests.procs import poll, read_file
 from tests.test_platform import PlatformCase
 
-NAMES = rank(["one", "two", "three"])
+NAMES = rank_leaders(["one", "two", "three"])
 LEADER, NEXT, LAST = NAMES
 REVOKE_BOUND = 3
 
--- a/tests/test_store_watchers.py
+++ b/tests/test_store_watchers.py
@@ -6,10 +6,15 @@
 
 from chervilwing.coordination import Peer
 from chervilwing.crash_records import CrashRecords
-from chervilwing.leader_queries import MAX_FRESH_AGE, MAX_GROUP_SIZE, MAX_WATCHERS, rank
+from chervilwing.leader_queries import (
+    MAX_FRESH_AGE,
+    MAX_GROUP_SIZE,
+    MAX_WATCHERS,
+    rank_leaders,
+)
 from chervilwing.mirrors import News
 from chervilwing.models import Address
-from chervilwing.report_exchange import Neighbours
+from chervilwing.report_exchange import ReportExchange
 from chervilwing.rollouts import Rollouts
 
 TICK = 0.05
@@ -27,7 +32,7 @@
             if other != name
         }
         self.peers_version = 1
-        self.tenure = SimpleNamespace(claim_delay=0.0)
+        self.duty_lease = SimpleNamespace(claim_delay=0.0)
         self.passive = False
         self.store_lost = False
         # When it listed the store: it doesn't know earlier changes.
@@ -103,7 +108,7 @@
         self.now = 100.0
         self.names = {f"i{n}": centres[n % len(centres)] for n in range(count)}
         sockets = {}
-        self.knowledge_by_name, self.neighbours = {}, {}
+        self.knowledge_by_name, self.report_exchange = {}, {}
         for name, centre in self.names.items():
             cfg = SimpleNamespace(
                 name=name,
@@ -119,7 +124,7 @@
                 **{"list_unstored.return_value": {}, "read_time": lambda: 0}
             )
             parts.list_stored.return_value = []
-            self.neighbours[name] = Neighbours(
+            self.report_exchange[name] = ReportExchange(
                 cfg,
                 Datagrams(name, sockets),
                 knowledge,
@@ -138,7 +143,7 @@
                 self.now += TICK
                 for name in self.names:
                     self.knowledge_by_name[name].tick()
-                    self.neighbours[name]._on_tick()
+                    self.report_exchange[name]._on_tick()
                 ages = (self.knowledge_by_name[name].measure_age() for name in watched)
                 oldest = max(oldest, *ages, 0.0)
         return oldest
@@ -194,7 +199,7 @@
         world = World(8, "a", bound=2.0)
         world.run(SETTLE)
         leader = world.list_watching()[0]
-        first = next(name for name in rank(list(world.names)) if name != leader)
+        first = next(name for name in rank_leaders(list(world.names)) if name != leader)
         world.knowledge_by_name[leader].store_lost = True
         world.knowledge_by_name[first].listed_at = world.now + 10 * TICK
         world.run(SETTLE)
@@ -232,7 +237,7 @@
         self.assertLess(oldest, 4.0)
 
     def test_rank_does_not_depend_on_input_order(self):
-        self.assertEqual(rank(["b", "a", "c"]), rank(["c", "b", "a"]))
+        self.assertEqual(rank_leaders(["b", "a", "c"]), rank_leaders(["c", "b", "a"]))
 
 
 if __name__ == "__main__":
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -135,7 +135,7 @@
         (
             Edit(
                 "crash_detection",
-                "if name in self._gateway.registry.members:",
+                "if name in self._gateway.registry.upstreams:",
                 "if False:",
             ),
         ),
