--- a/src/chervilwing/attempts.py
+++ b/src/chervilwing/attempts.py
@@ -4,7 +4,7 @@
 from math import inf
 
 from .clocks import read_boottime
-from .connections import IDLE_LIMIT, Call, CallHandlers
+from .connections import MAX_IDLE_CONNECTIONS, Call, CallHandlers
 from .dialects import HOP_BY_HOP, AttemptContext
 from .exceptions import (
     NOT_RUN,
@@ -51,7 +51,9 @@
     An upstream limits its connections from all instances together and resets the
     excess, so the idle connections of a large fleet could displace those in use.
     """
-    return min(IDLE_LIMIT, max(1, int(spec.connections * MAX_IDLE_PART / instances)))
+    return min(
+        MAX_IDLE_CONNECTIONS, max(1, int(spec.connections * MAX_IDLE_PART / instances))
+    )
 
 
 class Attempts:
@@ -63,9 +65,9 @@
         self._dialect = dialect
         self._retries = gateway.retries
 
-    def retire(self, address):
+    def close_idle(self, address):
         """Close the idle connections to an address that is no longer used."""
-        self._client.retire(address)
+        self._client.close_idle(address)
 
     def send(self, relay, choice):
         """Send a request to the chosen upstream; the caller has checked the limits."""
@@ -114,7 +116,7 @@
             relay.events.last_id if relay.events else "",
             relay.estimate.source and relay.estimate.source.registration.address,
         )
-        idle_limit = (
+        max_idle_time = (
             MAX_IDLE_REPEATABLE if route.repeatable else MAX_IDLE_NON_REPEATABLE
         )
         return Call(
@@ -125,14 +127,14 @@
             req.body,
             connect_timeout=CONNECT_TIMEOUT,
             silence_timeout=float("inf"),
-            probed=False,
+            probe_if_silent=False,
             host=relay.headers.get("host", ""),
-            idle_limit=idle_limit,
-            idle_most=compute_idle_limit(relay.pool.spec, self._retries.instances),
-            expects=lambda head: self._dialect.belongs_to(
+            max_idle_time=max_idle_time,
+            max_idle=compute_idle_limit(relay.pool.spec, self._retries.instances),
+            is_answer=lambda head: self._dialect.belongs_to(
                 head, relay.demand.request_id
             ),
-            until_close=True,
+            body_until_close=True,
         )
 
     def _on_head(self, relay, status, headers):
@@ -246,7 +248,7 @@
             self._gateway.crash_detection.handle_broken(relay, read_boottime())
             self._abort_attempt(relay, "The stream ended in the middle of an event.")
             return
-        if relay.call.reader.endless:
+        if relay.call.reader.until_close:
             # The body ends with the connection, so a crash of the upstream can't be
             # distinguished from a complete answer.
             self._gateway.crash_detection.handle_caller_left(relay, read_boottime())
--- a/src/chervilwing/balancing.py
+++ b/src/chervilwing/balancing.py
@@ -9,7 +9,7 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-from .costs import blend
+from .costs import update_average
 from .hashing import Ring
 from .prompt_caches import PromptCaches
 from .service_times import ServiceTime
@@ -382,9 +382,9 @@
                 MAX_PREFILL_RATE,
                 max(MIN_PREFILL_RATE, tokens / (elapsed - FIRST_TOKEN_TIME)),
             )
-            self.rate = blend(self.rate, rate)
+            self.rate = update_average(self.rate, rate)
             if sent.lightly_loaded:
-                self.light_load_rate = blend(self.light_load_rate, rate)
+                self.light_load_rate = update_average(self.light_load_rate, rate)
         return True
 
     def record_placed_end(self, upstream_state, key, failed, now):
--- a/src/chervilwing/bodies.py
+++ b/src/chervilwing/bodies.py
@@ -43,7 +43,7 @@
         return self._remaining == 0
 
     @property
-    def endless(self):
+    def until_close(self):
         """Return whether the body ends only when the connection closes."""
         return self._remaining == math.inf
 
@@ -65,7 +65,7 @@
 class ChunkedBody:
     """A chunked body; each step parses one element of its framing."""
 
-    endless = False
+    until_close = False
 
     def __init__(self):
         self._buffer = bytearray()
--- a/src/chervilwing/concurrency_limits.py
+++ b/src/chervilwing/concurrency_limits.py
@@ -1,6 +1,6 @@
 """Concurrency limits that follow the measured latency of each upstream."""
 
-from .costs import blend
+from .costs import update_average
 
 # An upstream is slow if a unit of cost takes more than this multiple of the pool's best
 # pace. A full batch takes up to twice as long as a half-full one, so smaller
@@ -38,8 +38,8 @@
             self.measured = True
             return
         weight = FALL_WEIGHT if pace < self.best else RISE_WEIGHT
-        self.best = blend(self.best, pace, weight)
-        self.mean = blend(self.mean, pace)
+        self.best = update_average(self.best, pace, weight)
+        self.mean = update_average(self.mean, pace)
 
 
 class Limit:
@@ -56,7 +56,7 @@
 
     def record(self, pace, best_pace, slots):
         """Adjust the limit after an answer; ``pace`` is in seconds per unit of cost."""
-        self.pace = pace if self.pace is None else blend(self.pace, pace, 0.2)
+        self.pace = pace if self.pace is None else update_average(self.pace, pace, 0.2)
         if pace > SLOW_RATIO * best_pace:
             self.value = max(MIN_LIMIT, self.value * SLOW_FACTOR)
             return
--- a/src/chervilwing/connections.py
+++ b/src/chervilwing/connections.py
@@ -27,7 +27,7 @@
 # Idle connections kept for each address, as many as a pool worker has slots. Without
 # them a burst of short calls would cost one handshake each; without a limit the number
 # of sockets would grow without bound.
-IDLE_LIMIT = 8
+MAX_IDLE_CONNECTIONS = 8
 # Method and target of a request that only tests whether a server is available
 # (RFC 9110, section 9.3.7).
 PROBE_REQUEST = ("OPTIONS", "*")
@@ -59,12 +59,12 @@
     ``fresh`` opens a new connection: the upstream may already have closed one that was
     kept alive, and it is then unknown whether a request written to it ran.
     ``send_before`` is a time on the monotonic clock, from which on the request is no
-    longer sent. ``probed`` makes the client send a probe on a new connection before a
-    silent call fails. ``host`` replaces the address in the Host field. Connections idle
-    for ``idle_limit`` or longer are not reused, and at most ``idle_most`` idle ones are
-    kept for the address. ``expects`` returns False for the answer to an earlier call.
-    ``until_close`` accepts an orderly close of the connection as the end of an answer
-    that has no length.
+    longer sent. ``probe_if_silent`` makes the client send a probe on a new connection
+    before a silent call fails. ``host`` replaces the address in the Host field.
+    Connections idle for ``max_idle_time`` or longer are not reused, and at most
+    ``max_idle`` idle ones are kept for the address. ``is_answer`` returns False for the
+    answer to an earlier call. ``body_until_close`` accepts an orderly close of the
+    connection as the end of an answer that has no length.
     """
 
     address: Address
@@ -76,12 +76,12 @@
     silence_timeout: float = 5.0
     fresh: bool = False
     send_before: float = float("inf")
-    probed: bool = True
+    probe_if_silent: bool = True
     host: str = ""
-    idle_limit: float = float("inf")
-    idle_most: int = IDLE_LIMIT
-    expects: Callable[[HttpHead], bool] | None = None
-    until_close: bool = False
+    max_idle_time: float = float("inf")
+    max_idle: int = MAX_IDLE_CONNECTIONS
+    is_answer: Callable[[HttpHead], bool] | None = None
+    body_until_close: bool = False
 
 
 class CallHandlers(NamedTuple):
@@ -195,7 +195,7 @@
         state.last_activity = time.monotonic()
         self._streams.resume(state.conn)
 
-    def retire(self, address):
+    def close_idle(self, address):
         """Close all idle connections to an address."""
         for conn in self._idle.pop(address, []):
             self._streams.drop(conn)
@@ -228,9 +228,9 @@
         for state in list(self._active):
             if state.over or not self._is_silent(state, now):
                 continue
-            self.retire(state.call.address)
+            self.close_idle(state.call.address)
             probe = self._probes.get(state.call.address)
-            no_probe = state.conn.connecting or not state.call.probed
+            no_probe = state.conn.connecting or not state.call.probe_if_silent
             if no_probe or state is probe:
                 self._fail(state, "No answer in time.", UpstreamSilent)
             elif probe is None:
@@ -289,7 +289,7 @@
         now = time.monotonic()
         while idle:
             conn = idle.pop()
-            if now - conn.last_activity < min(call.idle_limit, conn.idle_limit):
+            if now - conn.last_activity < min(call.max_idle_time, conn.idle_limit):
                 return conn
             self._streams.drop(conn)
         return None
@@ -352,8 +352,8 @@
         A faulty upstream may answer one request twice, the second time while the next
         call waits on this connection. Its caller would receive another's answer.
         """
-        head, expects = state.reader.head, state.call.expects
-        return head is not None and expects is not None and not expects(head)
+        head, is_answer = state.reader.head, state.call.is_answer
+        return head is not None and is_answer is not None and not is_answer(head)
 
     def _read_next_answer(self, state):
         rest = state.reader.rest
@@ -371,7 +371,7 @@
         # An answer may arrive before the whole request was sent. The upstream would
         # take the next request's bytes for the rest of this request's body.
         reusable = state.reader.reusable and not conn.pending
-        if reusable and len(idle) < state.call.idle_most:
+        if reusable and len(idle) < state.call.max_idle:
             conn.idle_limit = read_idle_limit(head.headers)
             idle.append(conn)
             return
@@ -384,7 +384,7 @@
         state = conn.state
         if state is None or state.over:
             return
-        ends_at_close = state.call.until_close and state.reader.endless
+        ends_at_close = state.call.body_until_close and state.reader.until_close
         if exc is None and state.head_delivered and ends_at_close:
             self._end(state)
             state.handlers.done()
--- a/src/chervilwing/costs.py
+++ b/src/chervilwing/costs.py
@@ -13,7 +13,7 @@
 SAMPLE_WEIGHT = 0.05
 
 
-def blend(old, new, weight=SAMPLE_WEIGHT):
+def update_average(old, new, weight=SAMPLE_WEIGHT):
     """Return the moving average after one more sample."""
     return old + weight * (new - old)
 
@@ -50,6 +50,6 @@
             key = (work.customer, work.work_class)
             old = self._output_fractions.get(key, DEFAULT_OUTPUT_FRACTION)
             fraction_used = min(1.0, (work.tokens + tokens) / work.max_tokens)
-            self._output_fractions[key] = blend(old, fraction_used)
+            self._output_fractions[key] = update_average(old, fraction_used)
         uncached = max(0, work.prompt_tokens + work.tokens - cached)
         return uncached * PREFILL_COST + max(1, tokens)
--- a/src/chervilwing/fingerprints.py
+++ b/src/chervilwing/fingerprints.py
@@ -4,7 +4,7 @@
 
 # Digest sizes in bytes.
 CONTENT_DIGEST_SIZE = 12
-REPEAT_SIZE = 8
+RETRY_DIGEST_SIZE = 8
 
 
 def make_fingerprint(req):
@@ -13,7 +13,7 @@
     return blake2b(text, digest_size=CONTENT_DIGEST_SIZE).hexdigest()
 
 
-def fingerprint_repeats(req, customer=""):
+def make_retry_fingerprint(req, customer=""):
     """Return the hex digest that is the same for all retries of one request.
 
     It covers the content, the host and the customer, but not which of the customer's
@@ -22,4 +22,4 @@
     """
     host = req.headers.get("host", "").partition(":")[0].lower()
     text = f"{host}\n{customer}\n{make_fingerprint(req)}"
-    return blake2b(text.encode(), digest_size=REPEAT_SIZE).hexdigest()
+    return blake2b(text.encode(), digest_size=RETRY_DIGEST_SIZE).hexdigest()
--- a/src/chervilwing/gateway.py
+++ b/src/chervilwing/gateway.py
@@ -105,7 +105,7 @@
         self._keys_are_fresh = keys_are_fresh
         self._rng = random.Random()
         handlers = WebHandlers(self._on_request, self._on_caller_left)
-        options = WebOptions(chunked=True, half_open=False)
+        options = WebOptions(accept_chunked_bodies=True, answer_half_closed=False)
         self.web = Web(self.limits, poller, handlers, "callers", options).register(self)
 
     def configure(self, document):
@@ -164,7 +164,7 @@
             if address is not None:
                 # The address may be reassigned to another service, so that no
                 # connection to it may be reused.
-                self._attempts.retire(address)
+                self._attempts.close_idle(address)
 
     def _report_limit(self, upstream, rate, was):
         """Log an upstream's new or removed limit and report it to other instances."""
--- a/src/chervilwing/gatewayd.py
+++ b/src/chervilwing/gatewayd.py
@@ -18,7 +18,7 @@
 from .gateway import CurrentLimits, Gateway
 from .gateway_settings import GATEWAY
 from .instance_orders import InstanceOrders
-from .logs import NonBlockingSink, count_dropped, log_event, set_up_logs
+from .logs import NonBlockingSink, count_dropped_lines, log_event, set_up_logs
 from .placement_exchange import Placing
 from .pollers import DirectPoller
 from .report_exchange import ReportExchange
@@ -154,7 +154,7 @@
             "gateway_requests_suspected": suspected,
             "gateway_requests_barred": barred,
             "gateway_upstreams_limited": gateway.upstream_limits.count(),
-            "gateway_log_lines_dropped": count_dropped(),
+            "gateway_log_lines_dropped": count_dropped_lines(),
         }
         return "".join(f"chervilwing_{k} {v}\n" for k, v in gauges.items())
 
--- a/src/chervilwing/instance_reports.py
+++ b/src/chervilwing/instance_reports.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from .crash_records import CrashReport
-from .fingerprints import REPEAT_SIZE
+from .fingerprints import RETRY_DIGEST_SIZE
 from .prompt_caches import PROMPT_REPORT_SECONDS, CachedPrompt
 from .upstream_states import NO_LOAD, UpstreamLoad, add_loads
 
@@ -105,7 +105,7 @@
     reports = [CrashReport(*value) for value in values]
     sizes = {len(bytes.fromhex(item.fingerprint)) for item in reports}
     # An empty fingerprint stands for all requests.
-    if not sizes <= {0, REPEAT_SIZE}:
+    if not sizes <= {0, RETRY_DIGEST_SIZE}:
         raise ValueError("a fingerprint has the wrong length")
     return reports
 
--- a/src/chervilwing/logs.py
+++ b/src/chervilwing/logs.py
@@ -71,7 +71,7 @@
     dropped = 0
 
 
-def count_dropped():
+def count_dropped_lines():
     """Return the number of lines dropped since the start."""
     return _RateLimit.dropped
 
--- a/src/chervilwing/parsers.py
+++ b/src/chervilwing/parsers.py
@@ -303,9 +303,9 @@
         return self._body is not None and self._body.complete
 
     @property
-    def endless(self):
+    def until_close(self):
         """Return whether the answer ends only when the connection closes."""
-        return self._body is not None and self._body.endless
+        return self._body is not None and self._body.until_close
 
     @property
     def rest(self):
--- a/src/chervilwing/platform/cloud.py
+++ b/src/chervilwing/platform/cloud.py
@@ -72,7 +72,7 @@
             msgspec.json.encode(body),
             connect_timeout=CONNECT_TIMEOUT,
             silence_timeout=SILENCE_TIMEOUT,
-            probed=False,
+            probe_if_silent=False,
             send_before=req.send_before,
         )
         handlers = collect(lambda status, data: reply(decode(req, status, data)))
--- a/src/chervilwing/platform/store.py
+++ b/src/chervilwing/platform/store.py
@@ -144,7 +144,7 @@
             b"" if body is None else msgspec.json.encode(body),
             connect_timeout=CONNECT_TIMEOUT,
             silence_timeout=self.cfg.store_timeout + wait,
-            probed=False,
+            probe_if_silent=False,
         )
         handlers = collect(lambda status, data: reply(decode(req, status, data)))
         self._client.submit(call, handlers)
--- a/src/chervilwing/pools.py
+++ b/src/chervilwing/pools.py
@@ -5,7 +5,7 @@
 
 from .admission import Congestion
 from .concurrency_limits import FALL_WEIGHT
-from .costs import SAMPLE_WEIGHT, blend
+from .costs import SAMPLE_WEIGHT, update_average
 from .models import MODEL, SERVICE
 from .placement import PoolState
 from .queues import BANDS, GUARANTEED_SHARE, LANES, SHORT, FairQueue
@@ -85,7 +85,7 @@
         """Update the mean time from placement to first token of a class."""
         old = self.first_token_seconds.get(work_class, seconds)
         weight = FALL_WEIGHT if seconds < old else SAMPLE_WEIGHT
-        self.first_token_seconds[work_class] = blend(old, seconds, weight)
+        self.first_token_seconds[work_class] = update_average(old, seconds, weight)
 
     def is_long(self, cost):
         """Return whether the cost is long for this pool."""
@@ -136,7 +136,7 @@
         self._log_typical_cost = (
             log(cost)
             if self._log_typical_cost is None
-            else blend(self._log_typical_cost, log(cost))
+            else update_average(self._log_typical_cost, log(cost))
         )
 
     def update_quota(self, now):
--- a/src/chervilwing/relays.py
+++ b/src/chervilwing/relays.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from .events import EventReader
-from .fingerprints import fingerprint_repeats
+from .fingerprints import make_retry_fingerprint
 
 # Bytes of an answer that are buffered until it is complete, so that a broken answer can
 # be retried or refused and the caller never receives part of it. Usual answers have
@@ -93,7 +93,7 @@
         self.received_at = now
         self.deadline = demand.deadline
         self.headers = exchange.req.headers
-        self.fingerprint = fingerprint_repeats(exchange.req, self.name)
+        self.fingerprint = make_retry_fingerprint(exchange.req, self.name)
         # Random number from 0 to 1 that decides whether a request is sent to a version
         # that is being rolled out.
         self.rollout_draw = 1.0
--- a/src/chervilwing/service_times.py
+++ b/src/chervilwing/service_times.py
@@ -1,6 +1,6 @@
 """Estimate of how long a service without engines takes to answer a call."""
 
-from .costs import blend
+from .costs import update_average
 
 # Seconds assumed for a call before any measurement.
 INITIAL_SERVICE_TIME = 0.05
@@ -24,7 +24,7 @@
     def record(self, elapsed, now):
         """Record the seconds that a call took until its answer began."""
         seconds = self.estimate(now)
-        self._seconds = blend(seconds, min(elapsed, MAX_INCREASE * seconds))
+        self._seconds = update_average(seconds, min(elapsed, MAX_INCREASE * seconds))
         self._measured_at = now
 
     def estimate(self, now):
--- a/src/chervilwing/sizing.py
+++ b/src/chervilwing/sizing.py
@@ -11,7 +11,7 @@
 from math import ceil
 from typing import NamedTuple
 
-from .costs import blend
+from .costs import update_average
 
 # Engines per engine second of work per second: a fifth more than usual for bursts, and
 # half as much again for the loss of one of three data centres.
@@ -101,7 +101,7 @@
             # The first measurements have equal weight, as there is no earlier rate.
             self._count += 1
             weight = max(MEASURE_WEIGHT, 1.0 / self._count)
-            self.rate = blend(self.rate, rate, weight)
+            self.rate = update_average(self.rate, rate, weight)
 
     def is_settled(self, now):
         """Return whether work has been measured for long enough to be trusted."""
--- a/src/chervilwing/stored_crashes.py
+++ b/src/chervilwing/stored_crashes.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from .exceptions import BadConfiguration
-from .fingerprints import REPEAT_SIZE
+from .fingerprints import RETRY_DIGEST_SIZE
 
 # Prefix of the keys of crashes; the upstream and the writer follow.
 CRASHES = "chervilwing/instances-crashes/"
@@ -187,8 +187,8 @@
 def decode_crash(key, data):
     """Return the StoredCrash of a key and its value, or raise BadConfiguration."""
     upstream, _, writer = key.removeprefix(CRASHES).rpartition("/")
-    if not upstream or not writer or len(data) % REPEAT_SIZE:
+    if not upstream or not writer or len(data) % RETRY_DIGEST_SIZE:
         raise BadConfiguration(f"{key}: no crash of an upstream")
-    starts = range(0, len(data), REPEAT_SIZE)
-    found = tuple(data[start : start + REPEAT_SIZE].hex() for start in starts)
+    starts = range(0, len(data), RETRY_DIGEST_SIZE)
+    found = tuple(data[start : start + RETRY_DIGEST_SIZE].hex() for start in starts)
     return StoredCrash(upstream, found)
--- a/src/chervilwing/upstream_states.py
+++ b/src/chervilwing/upstream_states.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from .costs import blend
+from .costs import update_average
 
 # Seconds after which a failure counts half, for an upstream that passes health checks
 # but fails part of its calls. Without decay it would never be tried again; if it were
@@ -182,5 +182,7 @@
     def record(self, failed, now):
         """Record the outcome of one attempt."""
         rate = self.get_failure_rate(now)
-        self._failure_rate = blend(rate, 1.0 if failed else 0.0, FAILURE_WEIGHT)
+        self._failure_rate = update_average(
+            rate, 1.0 if failed else 0.0, FAILURE_WEIGHT
+        )
         self._failure_at = now
--- a/src/chervilwing/web.py
+++ b/src/chervilwing/web.py
@@ -33,12 +33,12 @@
 class WebOptions(NamedTuple):
     """Protocol options of one listener.
 
-    ``chunked`` accepts chunked request bodies. ``half_open`` still answers a caller
-    that has closed its sending half.
+    ``accept_chunked_bodies`` accepts chunked request bodies. ``answer_half_closed``
+    still answers a caller that has closed its sending half.
     """
 
-    chunked: bool = False
-    half_open: bool = True
+    accept_chunked_bodies: bool = False
+    answer_half_closed: bool = True
 
 
 class Exchange:
@@ -283,7 +283,7 @@
             self._reject(conn, SlowSender())
 
     def _opened(self, conn):
-        reader = RequestReader(self._cfg, self._options.chunked)
+        reader = RequestReader(self._cfg, self._options.accept_chunked_bodies)
         conn.state = _Caller(reader, time.monotonic(), self._cfg.idle_timeout)
         self._callers.add(conn)
 
@@ -349,7 +349,7 @@
         every client ignores, triggers the reset (RFC 9110, section 15.2).
         """
         exchange = conn.state.exchange
-        if exchange is None or not self._options.half_open:
+        if exchange is None or not self._options.answer_half_closed:
             return False
         if exchange.req.chunks and not exchange.started:
             self._streams.send(conn, CONTINUE)
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -77,7 +77,7 @@
     return document._replace(**changes)
 
 
-class GatewayRun:
+class GatewayThread:
     """A gateway whose event loop runs in a thread; ``close`` stops it all."""
 
     def __init__(self, dialect, *scripts, document=None, keys_are_fresh=lambda: True):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -123,7 +123,7 @@
             answer_path(conn, "GET", "/crossed", b"")
 
         # A second answer that arrives after the next call was sent can only be
-        # recognised by an id (Call.expects), so each call here waits until the
+        # recognised by an id (Call.is_answer), so each call here waits until the
         # connection has closed.
         upstream = self.start(answer_twice)
         for i in range(5):
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -7,7 +7,7 @@
 
 from chervilwing.clocks import read_boottime
 from chervilwing.crash_records import CRASH_LIMIT
-from chervilwing.fingerprints import fingerprint_repeats
+from chervilwing.fingerprints import make_retry_fingerprint
 from chervilwing.parsers import HttpRequest
 from chervilwing.platform.headers import DIALECT
 from tests.crashing_upstreams import (
@@ -17,7 +17,7 @@
     CrashingUpstream,
     count_crashed,
 )
-from tests.gateways import GatewayRun, make_document
+from tests.gateways import GatewayThread, make_document
 from tests.procs import CHUNK, HOST, Caller, poll
 from tests.test_gateway import break_off
 from tests.test_platform import PlatformCase
@@ -32,7 +32,7 @@
 class TestOneInstance(unittest.TestCase):
     def start(self, begins=False):
         """Start a gateway in front of upstreams that a request may crash."""
-        self.run_ = GatewayRun(DIALECT, document=make_document())
+        self.run_ = GatewayThread(DIALECT, document=make_document())
         self.addCleanup(self.run_.close)
         self.upstreams = [CrashingUpstream(begins) for _ in range(TRIES * 3)]
         for number, upstream in enumerate(self.upstreams):
@@ -99,7 +99,7 @@
 class TestNoCrash(unittest.TestCase):
     def start(self, *scripts):
         """Start a gateway in front of upstreams with these scripts."""
-        self.run_ = GatewayRun(DIALECT, *scripts, document=make_document())
+        self.run_ = GatewayThread(DIALECT, *scripts, document=make_document())
         self.addCleanup(self.run_.close)
         return self.run_
 
@@ -120,7 +120,7 @@
     def count_now(self, body, path="/note/x"):
         """Return the number of crashes that a request is suspected of now."""
         req = HttpRequest("POST", path, "", {"host": "a.example"}, body, True)
-        fingerprint = fingerprint_repeats(req, "insurer")
+        fingerprint = make_retry_fingerprint(req, "insurer")
         return self.run_.gateway.crashes.count(fingerprint, read_boottime())
 
     def test_a_reset_connection_bars_no_request(self):
--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from chervilwing.fingerprints import fingerprint_repeats
+from chervilwing.fingerprints import make_retry_fingerprint
 from chervilwing.parsers import HttpRequest
 
 
@@ -14,7 +14,7 @@
 
 class TestRepeats(unittest.TestCase):
     def test_ids_keys_and_stream_positions_do_not_change_the_digest(self):
-        first = fingerprint_repeats(make_request(), "insurer")
+        first = make_retry_fingerprint(make_request(), "insurer")
         retry = make_request(
             **{
                 "host": "A.example:80",
@@ -23,16 +23,16 @@
                 "last-event-id": "7",
             }
         )
-        self.assertEqual(fingerprint_repeats(retry, "insurer"), first)
+        self.assertEqual(make_retry_fingerprint(retry, "insurer"), first)
 
     def test_content_host_and_customer_change_the_digest(self):
         digests = {
-            fingerprint_repeats(make_request(), "insurer"),
-            fingerprint_repeats(make_request(body=b"[]"), "insurer"),
-            fingerprint_repeats(make_request(path="/memo/8"), "insurer"),
-            fingerprint_repeats(make_request(query="all"), "insurer"),
-            fingerprint_repeats(make_request(method="PUT"), "insurer"),
-            fingerprint_repeats(make_request(host="b.example"), "insurer"),
-            fingerprint_repeats(make_request(), "broker"),
+            make_retry_fingerprint(make_request(), "insurer"),
+            make_retry_fingerprint(make_request(body=b"[]"), "insurer"),
+            make_retry_fingerprint(make_request(path="/memo/8"), "insurer"),
+            make_retry_fingerprint(make_request(query="all"), "insurer"),
+            make_retry_fingerprint(make_request(method="PUT"), "insurer"),
+            make_retry_fingerprint(make_request(host="b.example"), "insurer"),
+            make_retry_fingerprint(make_request(), "broker"),
         }
         self.assertEqual(len(digests), 7)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -9,7 +9,7 @@
 from chervilwing.attempts import compute_idle_limit
 from chervilwing.platform.headers import DIALECT
 from chervilwing.routing import Organisation, PoolSpec
-from tests.gateways import GatewayRun, make_document
+from tests.gateways import GatewayThread, make_document
 from tests.procs import Caller, poll
 
 SIGNED = b"HTTP/1.1 200 OK\r\nX-Server-Stamp: s\r\n"
@@ -64,7 +64,9 @@
     def start(self, *scripts, document=None, **options):
         """Start a gateway with one upstream for each script."""
         document = make_document() if document is None else document
-        self.gateway_run = GatewayRun(DIALECT, *scripts, document=document, **options)
+        self.gateway_run = GatewayThread(
+            DIALECT, *scripts, document=document, **options
+        )
         self.addCleanup(self.gateway_run.close)
         return self.gateway_run
 
@@ -195,7 +197,7 @@
 
 class TestRefusals(GatewayCase):
     def test_without_a_configuration_requests_are_refused_with_retry_after(self):
-        run = GatewayRun(DIALECT)
+        run = GatewayThread(DIALECT)
         self.addCleanup(run.close)
         response = run.call("GET", "/page/x")
         self.assertEqual(response.status, 503)
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -4,7 +4,7 @@
 import unittest
 
 from chervilwing.platform.headers import DIALECT
-from tests.gateways import GatewayRun, make_document
+from tests.gateways import GatewayThread, make_document
 from tests.limiting_upstreams import (
     LimitingUpstream,
     count_most_in_window,
@@ -27,7 +27,7 @@
 class LimitedCase(unittest.TestCase):
     def start(self, *upstreams):
         """Start a gateway in front of these upstreams."""
-        self.run_ = GatewayRun(DIALECT, document=make_document())
+        self.run_ = GatewayThread(DIALECT, document=make_document())
         self.addCleanup(self.run_.close)
         for number, upstream in enumerate(upstreams):
             self.addCleanup(upstream.close)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -11,7 +11,7 @@
 from chervilwing.logs import (
     NonBlockingSink,
     RequestLine,
-    count_dropped,
+    count_dropped_lines,
     log_event,
     log_failure,
     log_request,
@@ -94,10 +94,10 @@
         reading, writing = os.pipe()
         self.addCleanup(os.close, reading)
         self.addCleanup(os.close, writing)
-        sink, before = NonBlockingSink(writing), count_dropped()
+        sink, before = NonBlockingSink(writing), count_dropped_lines()
         for _ in range(200):
             sink.write("x" * 1000 + "\n")
-        self.assertGreater(count_dropped(), before)
+        self.assertGreater(count_dropped_lines(), before)
         read = b""
         while len(read) < 60000:
             read += os.read(reading, 65536)
@@ -112,9 +112,9 @@
         cfg = read_settings(["--embedded"], {}).unwrap()
         set_up_logs(cfg, sink)
         self.addCleanup(logger.remove)
-        before = count_dropped()
+        before = count_dropped_lines()
         for _ in range(2000):
             log_request(REQUEST_LINE)
         written = len(sink.getvalue().splitlines())
-        self.assertEqual(written + count_dropped() - before, 2000)
+        self.assertEqual(written + count_dropped_lines() - before, 2000)
         self.assertLess(written, 1500)
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -230,7 +230,8 @@
         (
             Edit(
                 "connections",
-                "return head is not None and expects is not None and not expects(head)",
+                "return head is not None and is_answer is not None"
+                " and not is_answer(head)",
                 "return False",
             ),
         ),
