--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -18,11 +18,11 @@
 import typer
 
 from chervilwing import gateway
-from chervilwing.balancing import Origin, PoolBalance
+from chervilwing.balancing import PlacementOrigin, PoolBalancer
 from chervilwing.demands import Demand
-from chervilwing.routing import EngineTraits, PoolTraits
-from chervilwing.sizing import Kind, Sizing
-from chervilwing.stations import NOTHING, add_loads
+from chervilwing.routing import EngineSpec, PoolSpec
+from chervilwing.sizing import InstanceKind, Sizing
+from chervilwing.upstream_states import NO_LOAD, add_loads
 
 from .draws import CENTRES, draw, draw_arrivals, read_ranges
 from .engines import Clock
@@ -97,13 +97,13 @@
         self.clock.now = -deployment.lead
         self.market = Market(self.clock, deployment, self._register)
         memory = deployment.engine.memory_tokens
-        traits = PoolTraits(
+        spec = PoolSpec(
             "engines",
-            engine=EngineTraits(SLOTS, memory, TOKEN_BYTES, LINK_RATE),
+            engine=EngineSpec(SLOTS, memory, TOKEN_BYTES, LINK_RATE),
             fleet=deployment.fleet,
         )
         self.pools = [
-            PoolBalance(traits, CENTRES[n % len(CENTRES)], random.Random(seed + n))
+            PoolBalancer(spec, CENTRES[n % len(CENTRES)], random.Random(seed + n))
             for n in range(deployment.gateways)
         ]
         self.sizing = Sizing()
@@ -115,7 +115,9 @@
     def run(self):
         """Play and return the Outcome."""
         others = int(np.ceil(1.5 * self.deployment.work)) + 2
-        centres = [Kind(CENTRES[n % len(CENTRES)], False) for n in range(others)]
+        centres = [
+            InstanceKind(CENTRES[n % len(CENTRES)], False) for n in range(others)
+        ]
         self.market.start(Counter(centres))
         self._order()
         self._tell_loads(None)
@@ -136,7 +138,7 @@
         else:
             self.registered[name] = registration
         for pool in self.pools:
-            pool.remove(name) if gone else pool.put(registration)
+            pool.remove(name) if gone else pool.put_upstream(registration)
 
     def _order(self):
         now = self.clock.now
@@ -144,15 +146,15 @@
             self.market.count_paid()
             return
         totals = {str(n): (0, pool.work) for n, pool in enumerate(self.pools)}
-        self.sizing.meter.measure(totals, now)
-        due = self.sizing.list_due(
+        self.sizing.meter.update(totals, now)
+        due = self.sizing.list_due_orders(
             self.deployment.fleet, list(self.registered.values()), now
         )
         for kind, number in due[:1]:
             if self.market.order(kind, number):
-                self.sizing.note_ordered(kind, number, now)
+                self.sizing.record_ordered(kind, number, now)
             else:
-                self.sizing.note_denied(kind, now)
+                self.sizing.record_denied(kind, now)
         self.clock.call(ORDER_EVERY, self._order)
 
     def _tell_loads(self, before):
@@ -160,10 +162,13 @@
         now = self.clock.now
         if before is not None:
             for pool, others in zip(self.pools, before[0], strict=True):
-                pool.hear(others, now + 9.0)
-                pool.learn(before[1])
+                pool.set_peer_loads(others, now + 9.0)
+                pool.add_reported_prompts(before[1])
         loads = [
-            {name: station.own for name, station in pool.stations.items()}
+            {
+                name: upstream_state.own_load
+                for name, upstream_state in pool.upstream_states.items()
+            }
             for pool in self.pools
         ]
         placed = [item for pool in self.pools for item in pool.caches.list_recent(now)]
@@ -177,8 +182,8 @@
         now = self.clock.now
         found = self._choose(pool, caller, now)
         if found is not None:
-            pool.ask(caller.demand, found[1])
-            if found[1].seconds <= (caller.ends_at - now) * gateway.HOPELESS_PART:
+            pool.record_work(caller.demand, found[1])
+            if found[1].seconds <= (caller.ends_at - now) * gateway.MAX_DEADLINE_PART:
                 self._send(pool, caller, found)
                 return
         # Refused once, a caller comes back.
@@ -188,49 +193,53 @@
             self.clock.call(wait, self._ask, caller)
 
     def _choose(self, pool, caller, now):
-        """Return the station of a gateway that the first one chooses for it."""
+        """Return the upstream state of a gateway that the first one chooses for it."""
         if not PLACED:
             return pool.choose(caller.demand, caller.tried, now)
         centre = CENTRES[self.pools.index(pool) % len(CENTRES)]
-        origin = Origin(centre, PLACER)
+        origin = PlacementOrigin(centre, PLACER)
         found = self.pools[0].choose(caller.demand, caller.tried, now, origin)
         if found is None:
             return None
-        self.pools[0].place(caller.demand.request_id, caller.demand, found, now)
-        station, estimate = found
+        self.pools[0].record_placed(caller.demand.request_id, caller.demand, found, now)
+        upstream_state, estimate = found
         source = estimate.source
         if source is not None:
-            source = pool.stations[source.registration.name]
-        name = station.registration.name
-        return pool.stations[name], estimate._replace(source=source)
+            source = pool.upstream_states[source.registration.name]
+        name = upstream_state.registration.name
+        return pool.upstream_states[name], estimate._replace(source=source)
 
     def _is_near(self, number, caller):
         return CENTRES[number % len(CENTRES)] == caller.arrival.centre
 
     def _send(self, pool, caller, found):
-        station, estimate = found
-        name = station.registration.name
+        upstream_state, estimate = found
+        name = upstream_state.registration.name
         caller.tried.add(name)
-        pool.send(station, caller.demand, estimate, self.clock.now)
+        pool.record_sent(upstream_state, caller.demand, estimate, self.clock.now)
         arrival = caller.arrival
         run = Run(
             arrival.parts,
             arrival.output,
-            lambda event: self._hear(event, pool, caller, station),
+            lambda event: self._hear(event, pool, caller, upstream_state),
             estimate.source and self.market.engines[estimate.source.registration.name],
         )
         self.market.engines[name].arrive(run)
 
-    def _hear(self, event, pool, caller, station):
+    def _hear(self, event, pool, caller, upstream_state):
         now, key = self.clock.now, caller.demand.request_id
         if event == "first":
-            pool.start(station, caller.demand, now)
-            self.pools[0].start_placed(self._find_placed(station), key, now)
+            pool.record_first_byte(upstream_state, caller.demand, now)
+            self.pools[0].record_placed_first_byte(
+                self._find_placed(upstream_state), key, now
+            )
             caller.first = caller.first or now
             return
         failed = event == "failed"
-        pool.end(station, caller.demand, failed, now)
-        self.pools[0].end_placed(self._find_placed(station), key, failed, now)
+        pool.record_end(upstream_state, caller.demand, failed, now)
+        self.pools[0].record_placed_end(
+            self._find_placed(upstream_state), key, failed, now
+        )
         if event == "done":
             self._began[caller] = caller.first
             return
@@ -238,10 +247,10 @@
         if len(caller.tried) < ATTEMPTS and now < caller.ends_at and found:
             self._send(pool, caller, found)
 
-    def _find_placed(self, station):
-        """Return what the first gateway knows of another one's station."""
-        name = station.registration.name
-        return self.pools[0].stations.get(name, station)
+    def _find_placed(self, upstream_state):
+        """Return what the first gateway knows of another one's upstream state."""
+        name = upstream_state.registration.name
+        return self.pools[0].upstream_states.get(name, upstream_state)
 
     def _earn(self, caller):
         """Return what a caller's answer is worth."""
@@ -307,7 +316,7 @@
         for number, load in enumerate(loads):
             if number != own:
                 for name, one in load.items():
-                    sums[name] = add_loads(sums.get(name, NOTHING), one)
+                    sums[name] = add_loads(sums.get(name, NO_LOAD), one)
         yield sums
 
 
--- a/src/chervilwing/attempts.py
+++ b/src/chervilwing/attempts.py
@@ -4,8 +4,8 @@
 from math import inf
 
 from .clocks import read_boottime
-from .connections import IDLE_LIMIT, Call, CallHandlers
-from .dialects import HOP_BY_HOP, Errand
+from .connections import MAX_IDLE_CONNECTIONS, Call, CallHandlers
+from .dialects import HOP_BY_HOP, AttemptContext
 from .exceptions import (
     NOT_RUN,
     ChervilwingError,
@@ -45,13 +45,15 @@
     return {name: value for name, value in headers.items() if name not in HOP_BY_HOP}
 
 
-def compute_idle_limit(traits, instances):
+def compute_idle_limit(spec, instances):
     """Return how many idle connections this instance may keep to one upstream.
 
     An upstream limits its connections from all instances together and resets the
     excess, so the idle connections of a large fleet could displace those in use.
     """
-    return min(IDLE_LIMIT, max(1, int(traits.connections * MAX_IDLE_PART / instances)))
+    return min(
+        MAX_IDLE_CONNECTIONS, max(1, int(spec.connections * MAX_IDLE_PART / instances))
+    )
 
 
 class Attempts:
@@ -63,23 +65,23 @@
         self._dialect = dialect
         self._retries = gateway.retries
 
-    def retire(self, address):
+    def close_idle(self, address):
         """Close the idle connections to an address that is no longer used."""
-        self._client.retire(address)
+        self._client.close_idle(address)
 
     def send(self, relay, choice):
         """Send a request to the chosen upstream; the caller has checked the limits."""
         now = read_boottime()
-        station, estimate = choice
-        relay.station, relay.estimate = station, estimate
+        upstream_state, estimate = choice
+        relay.upstream_state, relay.estimate = upstream_state, estimate
         relay.attempts += 1
-        relay.tried_upstreams.add(station.registration.name)
+        relay.tried_upstreams.add(upstream_state.registration.name)
         relay.sent_at = now
         relay.answer = None
         relay.take_buffered()
-        relay.pool.send(station, relay.demand, estimate, now)
+        relay.pool.record_sent(upstream_state, relay.demand, estimate, now)
         if relay.attempts > 1:
-            self._retries.note_retry(relay.pool.traits.name)
+            self._retries.record_retry(relay.pool.spec.name)
         handlers = CallHandlers(
             head=partial(self._on_head, relay),
             data=partial(self._on_data, relay),
@@ -90,15 +92,15 @@
 
     def _place_again(self, relay):
         now = read_boottime()
-        if not self._gateway.placing.ask(relay, now):
-            self.resend(relay, self._gateway.choose(relay, now))
+        if not self._gateway.placing.request_placement(relay, now):
+            self.resend(relay, self._gateway.choose_upstream(relay, now))
 
     def resend(self, relay, choice):
         """Send a request once more, or give up if that is not allowed."""
         try:
             self._gateway.check_send(relay, choice, read_boottime())
         except ChervilwingError as exc:
-            self._gateway.placing.note_ended(relay, None)
+            self._gateway.placing.report_ended(relay, None)
             self.give_up(relay, exc)
             return
         self.send(relay, choice)
@@ -106,44 +108,44 @@
     def _make_call(self, relay, now):
         req = relay.exchange.req
         route = relay.route
-        errand = Errand(
-            relay.station.registration.name,
+        context = AttemptContext(
+            relay.upstream_state.registration.name,
             relay.name,
             relay.deadline - now,
             relay.priority,
             relay.events.last_id if relay.events else "",
             relay.estimate.source and relay.estimate.source.registration.address,
         )
-        idle_limit = (
+        max_idle_time = (
             MAX_IDLE_REPEATABLE if route.repeatable else MAX_IDLE_NON_REPEATABLE
         )
         return Call(
-            relay.station.registration.address,
+            relay.upstream_state.registration.address,
             req.method,
             req.target,
-            self._dialect.write_headers(relay.headers, errand),
+            self._dialect.write_headers(relay.headers, context),
             req.body,
             connect_timeout=CONNECT_TIMEOUT,
             silence_timeout=float("inf"),
-            probed=False,
+            probe_if_silent=False,
             host=relay.headers.get("host", ""),
-            idle_limit=idle_limit,
-            idle_most=compute_idle_limit(relay.pool.traits, self._retries.instances),
-            expects=lambda head: self._dialect.belongs_to(
+            max_idle_time=max_idle_time,
+            max_idle=compute_idle_limit(relay.pool.spec, self._retries.instances),
+            is_answer=lambda head: self._dialect.belongs_to(
                 head, relay.demand.request_id
             ),
-            until_close=True,
+            body_until_close=True,
         )
 
     def _on_head(self, relay, status, headers):
         relay.answer = (status, headers)
-        verdict = self._dialect.judge(status, headers)
-        self._record_limit(relay, verdict)
-        if verdict.not_run:
+        answer_status = self._dialect.read_answer_head(status, headers)
+        self._record_limit(relay, answer_status)
+        if answer_status.not_run:
             self._retry_not_run(relay)
             return
-        self._gateway.crash_watch.note_answered(relay)
-        if not verdict.authentic:
+        self._gateway.crash_detection.handle_answered(relay)
+        if not answer_status.authentic:
             self._abort_attempt(relay, "The answer is not the upstream's own.")
             return
         is_stream = status == HTTP_OK and headers.get("content-type", "").startswith(
@@ -157,13 +159,13 @@
             relay.exchange.on_drain = partial(self._on_drain, relay)
             relay.exchange.relay_head(status, drop_hop_by_hop(headers), None)
 
-    def _record_limit(self, relay, verdict):
+    def _record_limit(self, relay, answer_status):
         """Record the request limit that an answer states for its upstream."""
-        if verdict.limit is not None and verdict.limit < inf:
-            relay.limit = verdict.limit
-        name, now = relay.station.registration.name, read_boottime()
-        self._gateway.upstream_limits.note_answer(
-            name, verdict.limit, relay.sent_at, now
+        if answer_status.limit is not None and answer_status.limit < inf:
+            relay.limit = answer_status.limit
+        name, now = relay.upstream_state.registration.name, read_boottime()
+        self._gateway.upstream_limits.record_answer(
+            name, answer_status.limit, relay.sent_at, now
         )
 
     def _retry_not_run(self, relay):
@@ -176,7 +178,7 @@
 
     def _may_retry(self, relay):
         now = read_boottime()
-        if relay.over or relay.attempts >= relay.route.attempts:
+        if relay.ended or relay.attempts >= relay.route.attempts:
             return False
         if self._gateway.crashes.is_barred(relay.fingerprint, now):
             return False
@@ -184,10 +186,10 @@
             return False
         if relay.deadline - now < CONNECT_TIMEOUT / 2:
             return False
-        if not relay.pool.list_open(relay.tried_upstreams):
+        if not relay.pool.list_accepting(relay.tried_upstreams):
             return False
         # An attempt that never reached an upstream added no load to the pool.
-        return not relay.attempts or self._retries.may_retry(relay.pool.traits.name)
+        return not relay.attempts or self._retries.may_retry(relay.pool.spec.name)
 
     def _on_data(self, relay, data):
         self._record_start(relay)
@@ -221,8 +223,10 @@
     def _record_start(self, relay):
         if relay.first_byte_at is None:
             relay.first_byte_at = read_boottime()
-        if relay.pool.start(relay.station, relay.demand, read_boottime()):
-            self._gateway.placing.note_started(relay)
+        if relay.pool.record_first_byte(
+            relay.upstream_state, relay.demand, read_boottime()
+        ):
+            self._gateway.placing.report_started(relay)
             if relay.answer[0] < MIN_SERVER_ERROR:
                 self._gateway.record_answer(relay, failed=False)
         self._count_usage(relay)
@@ -241,13 +245,13 @@
         self._record_start(relay)
         failed = status >= MIN_SERVER_ERROR
         if relay.events is not None and relay.events.has_partial:
-            self._gateway.crash_watch.note_broken(relay, read_boottime())
+            self._gateway.crash_detection.handle_broken(relay, read_boottime())
             self._abort_attempt(relay, "The stream ended in the middle of an event.")
             return
-        if relay.call.reader.endless:
+        if relay.call.reader.until_close:
             # The body ends with the connection, so a crash of the upstream can't be
             # distinguished from a complete answer.
-            self._gateway.crash_watch.note_left(relay, read_boottime())
+            self._gateway.crash_detection.handle_caller_left(relay, read_boottime())
         elif not failed:
             self._gateway.crashes.clear(relay.fingerprint, read_boottime())
         self.end_attempt(relay, failed)
@@ -282,9 +286,9 @@
             relay.may_have_run = True
             self._count_usage(relay)
             if isinstance(exc, ConnectionBroken):
-                self._gateway.crash_watch.note_broken(relay, read_boottime())
+                self._gateway.crash_detection.handle_broken(relay, read_boottime())
         self.end_attempt(relay, failed=True)
-        if relay.over:
+        if relay.ended:
             return
         if not relay.route.repeatable and relay.may_have_run:
             self.give_up(relay, exc)
@@ -305,12 +309,12 @@
 
     def end_attempt(self, relay, failed, cancel=False):
         """Record the end of an attempt; ``failed`` is None if its result is unknown."""
-        if relay.station is not None:
+        if relay.upstream_state is not None:
             now = read_boottime()
             if failed:
                 self._gateway.record_answer(relay, failed=True)
-            relay.pool.end(relay.station, relay.demand, failed, now)
-            self._gateway.placing.note_ended(relay, failed)
+            relay.pool.record_end(relay.upstream_state, relay.demand, failed, now)
+            self._gateway.placing.report_ended(relay, failed)
         if cancel:
             self._client.cancel(relay.call)
         relay.call = None
--- a/src/chervilwing/delegation.py
+++ b/src/chervilwing/credit_exchange.py
@@ -5,9 +5,9 @@
 from .allowances import CLAIM_INTERVAL
 from .clocks import read_boottime
 from .credit import Grant, read_claim
-from .fanout import rank
+from .credit_parents import CLAIM_RETRY_INTERVAL, ParentChoice
+from .leader_queries import rank_leaders
 from .logs import log_event
-from .parents import CLAIM_RETRY_INTERVAL, ParentChoice
 
 # Kinds of datagrams.
 CLAIM = 3
@@ -21,17 +21,17 @@
 WAITING_CLAIM_INTERVAL = 0.05
 
 
-class Delegation(BaseComponent):
+class CreditExchange(BaseComponent):
     """Claim credit from the instance's parent, and grant it to its children."""
 
-    channel = "delegation"
+    channel = "credit-exchange"
 
-    def __init__(self, cfg, datagrams, coordinator, neighbours, gateway):
+    def __init__(self, cfg, datagrams, coordinator, report_exchange, gateway):
         super().__init__()
         self._name = cfg.name
         self._datagrams = datagrams
         self._coordinator = coordinator
-        self._neighbours = neighbours
+        self._report_exchange = report_exchange
         self._gateway = gateway
         self._allowances = gateway.allowances
         self._limits = gateway.upstream_limits
@@ -40,7 +40,7 @@
         self._peers_version = None
         self._claimed_at = float("-inf")
         self._lacks_credit = False
-        gateway.on_lacking = self._claim_soon
+        gateway.on_credit_needed = self._claim_soon
         datagrams.subscribe(CLAIM, self._receive_claim)
         datagrams.subscribe(GRANT, self._receive_grant)
         datagrams.subscribe(PROBE, self._receive_probe)
@@ -50,7 +50,7 @@
     def _on_tick(self):
         now = read_boottime()
         self._allowances.advance(now)
-        self._limits.expire(self._gateway.registry.members, now)
+        self._limits.expire(self._gateway.registry.upstreams, now)
         self._rank()
         before = self._choice.parent
         parent = self._choice.choose(self._group_names, self._all_names, now)
@@ -67,9 +67,9 @@
         if self._peers_version == self._coordinator.peers_version:
             return
         self._peers_version = self._coordinator.peers_version
-        group = set(self._neighbours.list_group())
+        group = set(self._report_exchange.list_group())
         names = [self._name, *self._coordinator.peers]
-        names = rank(names, self._coordinator.list_links())
+        names = rank_leaders(names, self._coordinator.list_links())
         self._all_names = names[: names.index(self._name)]
         self._group_names = [name for name in self._all_names if name in group]
 
@@ -96,7 +96,7 @@
         self._lacks_credit = False
         self._choice.record_claim(now)
         claim = self._allowances.claim(parent, now)
-        self._send(parent, CLAIM, (self._limits.list_told(now), *claim))
+        self._send(parent, CLAIM, (self._limits.list_reports(now), *claim))
 
     def _send(self, name, kind, fields):
         peer = self._coordinator.peers.get(name)
@@ -111,7 +111,7 @@
 
     def _receive_claim(self, address, limits, *fields):
         now = read_boottime()
-        self._limits.hear(limits, now)
+        self._limits.merge_reports(limits, now)
         grant = self._allowances.receive_claim(read_claim(*fields), now)
         self._datagrams.send(GRANT, self._encode_grant(grant, now), address)
         if self._allowances.lacks_credit:
@@ -119,16 +119,16 @@
 
     def _encode_grant(self, grant, now):
         """Return the fields of a grant's datagram."""
-        return (self._name, self._limits.list_told(now), *grant)
+        return (self._name, self._limits.list_reports(now), *grant)
 
     def _receive_grant(self, address, name, limits, *fields):
         now = read_boottime()
-        self._limits.hear(limits, now)
+        self._limits.merge_reports(limits, now)
         self._choice.record_answer(name, now)
         if not self._allowances.receive_grant(Grant(*fields), now):
             return
         self._grant_waiting()
-        self._gateway.resume_waiting(now)
+        self._gateway.retry_waiting_requests(now)
 
     def _grant_waiting(self):
         """Grant newly available credit to children that still lack it."""
--- a/src/chervilwing/gateway.py
+++ b/src/chervilwing/gateway.py
@@ -6,10 +6,10 @@
 
 from .allowances import Allowances
 from .attempts import RETRY_AFTER, Attempts
-from .balancing import PoolBalance
+from .balancing import PoolBalancer
 from .clocks import STARTED_AT, read_boottime
-from .crash_watch import CrashWatch
-from .crashes import CrashRecords
+from .crash_detection import CrashDetection
+from .crash_records import CrashRecords
 from .exceptions import (
     ChervilwingError,
     DeadlinePassed,
@@ -22,7 +22,7 @@
     StaleKeys,
 )
 from .logs import log_event, log_request
-from .placers import PlacingHooks
+from .placer_selection import PlacementHooks
 from .registrations import Registry
 from .relays import Relay, describe_refusal, describe_relay
 from .retry_shares import RetryShares
@@ -39,7 +39,7 @@
 STOPPING_RETRY_AFTER = 0.1
 # A request is refused if its estimated time exceeds this part of the time left until
 # its deadline. Estimates err by about a quarter.
-HOPELESS_PART = 0.9
+MAX_DEADLINE_PART = 0.9
 # A request waits for its customer's credit at most this many seconds, and at most this
 # part of its latency target. The instances that grant credit answer in milliseconds,
 # also when a second instance has to be asked.
@@ -83,9 +83,9 @@
         self.registry = Registry()
         self.allowances = Allowances(cfg.name, cfg.incarnation, STARTED_AT)
         # Called when a request has to wait for its customer's credit.
-        self.on_lacking = lambda: None
+        self.on_credit_needed = lambda: None
         self._waiting = []
-        self.placing = PlacingHooks()
+        self.placing = PlacementHooks()
         self.rollouts = Rollouts()
         self.crashes = CrashRecords(cfg.name)
         self.upstream_limits = UpstreamLimits(self.allowances, self._report_limit)
@@ -97,15 +97,15 @@
         self.on_usage = lambda organisation, seconds_ago: None
         # Returns since when the copy of the registrations has been up to date without
         # interruption.
-        self.registrations_since = lambda: float("inf")
+        self.registrations_fresh_since = lambda: float("inf")
         self.draining = False
-        self.crash_watch = CrashWatch(poller, self, client).register(self)
+        self.crash_detection = CrashDetection(poller, self, client).register(self)
         self._attempts = Attempts(self, client, dialect)
         self._dialect = dialect
         self._keys_are_fresh = keys_are_fresh
         self._rng = random.Random()
         handlers = WebHandlers(self._on_request, self._on_caller_left)
-        options = WebOptions(chunked=True, half_open=False)
+        options = WebOptions(accept_chunked_bodies=True, answer_half_closed=False)
         self.web = Web(self.limits, poller, handlers, "callers", options).register(self)
 
     def configure(self, document):
@@ -115,21 +115,21 @@
         self.table = RoutingTable(document)
         self.limits.update(document.limits)
         self.allowances.configure(document.organisations, read_boottime())
-        for name, traits in self.table.pools.items():
-            self._get_or_create_pool(name).traits = traits
+        for name, spec in self.table.pools.items():
+            self._get_or_create_pool(name).spec = spec
         return True
 
     def put_upstream(self, registration):
         """Add or update a registered upstream."""
-        previous = self.registry.put(registration)
+        previous = self.registry.add(registration)
         if previous is not None:
-            self.crash_watch.note_restarted(previous, read_boottime())
-            self.upstream_limits.note_restarted(registration.name, read_boottime())
+            self.crash_detection.handle_restarted(previous, read_boottime())
+            self.upstream_limits.record_restart(registration.name, read_boottime())
             self._remove_from_pools(registration.name)
-        self.rollouts.note_version(
+        self.rollouts.record_version(
             registration.pool, registration.version, read_boottime()
         )
-        self._get_or_create_pool(registration.pool).put(registration)
+        self._get_or_create_pool(registration.pool).put_upstream(registration)
 
     def remove_upstream(self, name, regained_at):
         """Handle the disappearance of an upstream's registration.
@@ -139,7 +139,7 @@
         if self.registry.remove(name, read_boottime(), regained_at):
             self._handle_lost_upstream(name)
 
-    def drop_upstream(self, name):
+    def remove_upstream_now(self, name):
         """Remove an upstream without a grace period."""
         self.registry.drop(name)
         self._handle_lost_upstream(name)
@@ -151,9 +151,11 @@
 
     def _handle_lost_upstream(self, name):
         for pool in self.pools.values():
-            station = pool.stations.get(name)
-            if station is not None:
-                self.crash_watch.note_gone(station.registration, read_boottime())
+            upstream_state = pool.upstream_states.get(name)
+            if upstream_state is not None:
+                self.crash_detection.handle_removed(
+                    upstream_state.registration, read_boottime()
+                )
         self._remove_from_pools(name)
 
     def _remove_from_pools(self, name):
@@ -162,17 +164,17 @@
             if address is not None:
                 # The address may be reassigned to another service, so that no
                 # connection to it may be reused.
-                self._attempts.retire(address)
+                self._attempts.close_idle(address)
 
     def _report_limit(self, upstream, rate, was):
         """Log an upstream's new or removed limit and report it to other instances."""
         log_event("upstream limit", upstream=upstream, rate=rate, was=was)
-        self.on_lacking()
+        self.on_credit_needed()
 
     def _get_or_create_pool(self, name):
         pool = self.pools.get(name)
         if pool is None:
-            pool = PoolBalance(self.cfg.plain_pool, self.cfg.data_centre, self._rng)
+            pool = PoolBalancer(self.cfg.plain_pool, self.cfg.data_centre, self._rng)
             self.pools[name] = pool
         return pool
 
@@ -188,8 +190,8 @@
         self.relays.add(relay)
         if not sent:
             self._waiting.append(relay)
-            self.allowances.wait(relay.organisation, relay.cost)
-            self.on_lacking()
+            self.allowances.add_waiting(relay.organisation, relay.cost)
+            self.on_credit_needed()
 
     def _log_and_refuse(self, exchange, exc):
         log_request(describe_refusal(exchange.req, exc, self._get_document_version()))
@@ -211,7 +213,7 @@
         relay = Relay(exchange, route, organisation, pool, demand, now)
         relay.cost = self._dialect.measure_cost(demand, organisation)
         relay.rollout_draw = self._rng.random()
-        self.crashes.check(relay.fingerprint, now)
+        self.crashes.raise_if_barred(relay.fingerprint, now)
         return relay
 
     def _charge_and_place(self, relay, now):
@@ -219,17 +221,17 @@
         if not self.allowances.charge(relay.organisation, relay.cost, now):
             return False
         relay.charged_at = now
-        if not self.placing.ask(relay, now):
-            self._send(relay, self.choose(relay, now), now)
+        if not self.placing.request_placement(relay, now):
+            self._send(relay, self.choose_upstream(relay, now), now)
         return True
 
-    def choose(self, relay, now):
+    def choose_upstream(self, relay, now):
         """Return this instance's best (upstream, estimate), or None without one."""
-        origin = self.placing.read_origin()
-        exhausted = self.upstream_limits.list_exhausted(relay.pool.stations, now)
+        origin = self.placing.get_origin()
+        exhausted = self.upstream_limits.list_exhausted(relay.pool.upstream_states, now)
         if origin is not None and origin.placer:
-            self.upstream_limits.seek(exhausted, now)
-        excluded = exhausted | self.list_excluded(relay, now)
+            self.upstream_limits.request_credit(exhausted, now)
+        excluded = exhausted | self.list_excluded_upstreams(relay, now)
         return relay.pool.choose(relay.demand, excluded, now, origin)
 
     def check_send(self, relay, choice, now):
@@ -238,47 +240,50 @@
         Every send of a request passes this check. The upstream's own limit is checked
         last, because that check consumes its credit.
         """
-        self.crashes.check(relay.fingerprint, now)
+        self.crashes.raise_if_barred(relay.fingerprint, now)
         if choice is None:
             raise self._make_unavailable_error(relay.pool)
-        station, estimate = choice
-        if relay.station is None:
+        upstream_state, estimate = choice
+        if relay.upstream_state is None:
             self._check_capacity(relay, estimate, now)
         if estimate.charged:
             return
-        if not self.upstream_limits.charge(station.registration.name, now):
+        if not self.upstream_limits.charge(upstream_state.registration.name, now):
             raise self._make_unavailable_error(relay.pool)
 
     def _make_unavailable_error(self, pool):
         """Return the error for a request that no upstream of the pool can accept."""
-        scope = Scope("pool", pool.traits.name)
-        wait = self.upstream_limits.measure_wait(pool.stations)
+        scope = Scope("pool", pool.spec.name)
+        wait = self.upstream_limits.get_retry_after(pool.upstream_states)
         if wait is None:
             return NoUpstream(scope=scope, retry_after=RETRY_AFTER)
         return PoolLimited(scope=scope, retry_after=wait)
 
-    def list_excluded(self, relay, now):
+    def list_excluded_upstreams(self, relay, now):
         """Return the names of the upstreams to which a request must not be sent."""
         draw = None if relay.attempts else relay.rollout_draw
         pool = relay.pool
-        name = pool.traits.name
-        excluded = self.rollouts.list_excluded(name, pool.stations, draw, now)
+        name = pool.spec.name
+        excluded = self.rollouts.list_excluded(name, pool.upstream_states, draw, now)
         return excluded | relay.tried_upstreams if excluded else relay.tried_upstreams
 
     def record_answer(self, relay, failed):
         """Record the first byte or failure of an answer for the version's roll-out."""
-        pool, version = relay.pool.traits.name, relay.station.registration.version
-        if not self.rollouts.is_watched(pool):
+        pool, version = (
+            relay.pool.spec.name,
+            relay.upstream_state.registration.version,
+        )
+        if not self.rollouts.is_in_trial(pool):
             return
         elapsed = read_boottime() - relay.sent_at
         slow = elapsed > relay.estimate.seconds * SLOW_FACTOR + SLOW_MARGIN
-        self.rollouts.note_answer(pool, version, relay.route.name, failed or slow)
+        self.rollouts.record_answer(pool, version, relay.route.name, failed or slow)
 
-    def place_alone(self, relay, now):
+    def place_locally(self, relay, now):
         """Send a request to the best upstream by this instance's own data."""
-        self.place(relay, self.choose(relay, now), now)
+        self.send_to_choice(relay, self.choose_upstream(relay, now), now)
 
-    def place(self, relay, choice, now):
+    def send_to_choice(self, relay, choice, now):
         """Send a waiting request to the upstream chosen for it, or refuse it."""
         try:
             self._send(relay, choice, now)
@@ -287,23 +292,23 @@
 
     def _refuse_waiting(self, relay, exc):
         """Refuse a waiting request that was not sent to any upstream."""
-        relay.over = True
+        relay.ended = True
         self.relays.discard(relay)
         self._log_and_refuse(relay.exchange, exc)
 
     def _send(self, relay, choice, now):
         """Send a request, the first time or again; raise if the first is refused."""
-        if relay.station is not None:
+        if relay.upstream_state is not None:
             self._attempts.resend(relay, choice)
             return
         try:
             self.check_send(relay, choice, now)
         except ChervilwingError:
-            self.placing.note_ended(relay, None)
+            self.placing.report_ended(relay, None)
             self.refund(relay, now)
             raise
-        relay.pool.ask(relay.demand, choice[1])
-        self.retries.note_first(relay.pool.traits.name)
+        relay.pool.record_work(relay.demand, choice[1])
+        self.retries.record_first_attempt(relay.pool.spec.name)
         self._attempts.send(relay, choice)
 
     def refund(self, relay, now):
@@ -313,23 +318,23 @@
                 relay.organisation, relay.cost, now - relay.charged_at
             )
 
-    def resume_waiting(self, now):
+    def retry_waiting_requests(self, now):
         """Send waiting requests that have credit now; refuse those past the limit."""
         waiting, self._waiting = self._waiting, []
         for relay in waiting:
             try:
-                if not relay.over and not self._charge_and_place(relay, now):
+                if not relay.ended and not self._charge_and_place(relay, now):
                     self._keep_waiting(relay, now)
                     continue
             except ChervilwingError as exc:
                 self._refuse_waiting(relay, exc)
-            self.allowances.stop_waiting(relay.organisation, relay.cost)
+            self.allowances.remove_waiting(relay.organisation, relay.cost)
 
     def _keep_waiting(self, relay, now):
         """Leave a request waiting for credit, or raise CustomerLimit."""
         wait = min(MAX_CREDIT_WAIT, relay.route.latency_target * MAX_CREDIT_WAIT_PART)
         if now - relay.received_at >= wait:
-            raise self.allowances.refuse(relay.organisation, relay.cost)
+            raise self.allowances.make_limit_error(relay.organisation, relay.cost)
         self._waiting.append(relay)
 
     def _get_document_version(self):
@@ -348,12 +353,12 @@
 
     def _check_capacity(self, relay, estimate, now):
         """Raise PoolFull if the deadline can't be met or the pool is overloaded."""
-        scope = Scope("pool", relay.pool.traits.name)
+        scope = Scope("pool", relay.pool.spec.name)
         seconds = estimate.seconds
-        hopeless = seconds > (relay.deadline - now) * HOPELESS_PART
-        shortest = self.table.shortest.get(scope.name, float("inf"))
-        if hopeless or relay.pool.is_crowded(estimate, shortest):
-            relay.pool.ask(relay.demand, estimate)
+        hopeless = seconds > (relay.deadline - now) * MAX_DEADLINE_PART
+        shortest = self.table.shortest_latency_targets.get(scope.name, float("inf"))
+        if hopeless or relay.pool.is_overloaded(estimate, shortest):
+            relay.pool.record_work(relay.demand, estimate)
             raise PoolFull(scope=scope, retry_after=min(seconds, RETRY_AFTER * 4))
 
     def refuse(self, exchange, exc):
@@ -367,10 +372,10 @@
     def _on_caller_left(self, exchange):
         """Cancel the request of a caller that has disconnected."""
         relay = exchange.tag
-        if relay is None or relay.over:
+        if relay is None or relay.ended:
             return
         if relay.call is not None:
-            self.crash_watch.note_left(relay, read_boottime())
+            self.crash_detection.handle_caller_left(relay, read_boottime())
             self._attempts.end_attempt(relay, failed=None, cancel=True)
         self.close(relay, "caller_left", 0)
 
@@ -378,7 +383,7 @@
     def _on_tick(self):
         """Retry requests that wait for credit; end those past their deadline."""
         now = read_boottime()
-        self.resume_waiting(now)
+        self.retry_waiting_requests(now)
         for relay in list(self.relays):
             if now >= relay.deadline:
                 self._expire(relay)
@@ -387,14 +392,14 @@
         sent = relay.call is not None and relay.call.conn.sent
         if relay.call is not None:
             failed = True if sent and relay.answer is None else None
-            self.crash_watch.note_left(relay, read_boottime())
+            self.crash_detection.handle_caller_left(relay, read_boottime())
             self._attempts.end_attempt(relay, failed, cancel=True)
         relay.may_have_run = relay.may_have_run or bool(sent)
         self._attempts.give_up(relay, DeadlinePassed())
 
     def close(self, relay, outcome, status, cause=""):
         """Record the end of a request in metrics and log."""
-        relay.over = True
+        relay.ended = True
         self.relays.discard(relay)
         now = read_boottime()
         series = self.stats.select(relay.name or OPEN_LABEL, relay.route.name)
--- a/src/chervilwing/tallies.py
+++ b/src/chervilwing/instance_reports.py
@@ -8,10 +8,10 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-from .crashes import CrashNews
-from .fingerprints import REPEAT_SIZE
-from .prompt_caches import TOLD_FOR, Placement
-from .stations import NOTHING, InFlight, add_loads
+from .crash_records import CrashReport
+from .fingerprints import RETRY_DIGEST_SIZE
+from .prompt_caches import PROMPT_REPORT_SECONDS, CachedPrompt
+from .upstream_states import NO_LOAD, UpstreamLoad, add_loads
 
 # Seconds between two sums of all loads: a leader receives dozens of queries a second,
 # and need not add up the same reports for each of them.
@@ -34,7 +34,7 @@
     """
 
     instances: int
-    in_flight: dict[str, dict[str, InFlight]]
+    in_flight: dict[str, dict[str, UpstreamLoad]]
     work: dict[str, float]
     answers: dict[str, float] = NO_TOTALS
 
@@ -43,9 +43,9 @@
     """One process's report of its own state.
 
     ``group`` names the instances that query the same leader. ``usage`` has the counts
-    of requests that aren't stored yet, by window and organisation. ``placements`` are
-    the upstreams to which it recently sent long prompts, ``crashes`` what it recently
-    learned of requests that crash upstreams.
+    of requests that aren't stored yet, by window and organisation. ``cached_prompts``
+    are the upstreams to which it recently sent long prompts, ``crashes`` what it
+    recently learned of requests that crash upstreams.
     """
 
     name: str
@@ -54,17 +54,17 @@
     time_of_day: float
     counts: Counts
     usage: dict[int, dict[str, int]]
-    placements: list[Placement]
-    crashes: list[CrashNews]
+    cached_prompts: list[CachedPrompt]
+    crashes: list[CrashReport]
 
 
 class ReportReply(NamedTuple):
     """One process's reply to a report.
 
     ``sums`` are None where it leads no group. ``stored`` are the windows of usage for
-    which it stored the reported counts, ``placements`` the upstreams to which others
-    recently sent long prompts, ``crashes`` what it recently learned of requests that
-    crash upstreams.
+    which it stored the reported counts, ``cached_prompts`` the upstreams to which
+    others recently sent long prompts, ``crashes`` what it recently learned of requests
+    that crash upstreams.
     """
 
     name: str
@@ -72,51 +72,53 @@
     time_of_day: float
     sums: Counts | None
     stored: list[int]
-    placements: list[Placement]
-    crashes: list[CrashNews]
+    cached_prompts: list[CachedPrompt]
+    crashes: list[CrashReport]
 
 
-def read_reply(name, incarnation, time_of_day, sums, stored, placements, crashes=()):
+def read_reply(
+    name, incarnation, time_of_day, sums, stored, cached_prompts, crashes=()
+):
     """Return the ReportReply of a datagram; older processes send no crashes."""
     sums = None if sums is None else read_counts(*sums)
-    placements = read_placements(placements)
-    crashes = read_crash_news(crashes)
+    cached_prompts = read_cached_prompts(cached_prompts)
+    crashes = read_crash_reports(crashes)
     return ReportReply(
-        name, incarnation, time_of_day, sums, stored, placements, crashes
+        name, incarnation, time_of_day, sums, stored, cached_prompts, crashes
     )
 
 
 def read_report(
-    name, incarnation, group, time_of_day, counts, usage, placements, crashes=()
+    name, incarnation, group, time_of_day, counts, usage, cached_prompts, crashes=()
 ):
     """Return the InstanceReport of a datagram; older processes send no crashes."""
     counts = read_counts(*counts)
-    placements = read_placements(placements)
-    crashes = read_crash_news(crashes)
+    cached_prompts = read_cached_prompts(cached_prompts)
+    crashes = read_crash_reports(crashes)
     return InstanceReport(
-        name, incarnation, group, time_of_day, counts, usage, placements, crashes
+        name, incarnation, group, time_of_day, counts, usage, cached_prompts, crashes
     )
 
 
-def read_crash_news(values):
-    """Return the CrashNews decoded from a datagram, or raise ValueError."""
-    news = [CrashNews(*value) for value in values]
-    sizes = {len(bytes.fromhex(item.fingerprint)) for item in news}
+def read_crash_reports(values):
+    """Return the CrashReports decoded from a datagram, or raise ValueError."""
+    reports = [CrashReport(*value) for value in values]
+    sizes = {len(bytes.fromhex(item.fingerprint)) for item in reports}
     # An empty fingerprint stands for all requests.
-    if not sizes <= {0, REPEAT_SIZE}:
+    if not sizes <= {0, RETRY_DIGEST_SIZE}:
         raise ValueError("a fingerprint has the wrong length")
-    return news
+    return reports
 
 
-def read_placements(values):
-    """Return the Placements decoded from a datagram."""
-    return [Placement(*value) for value in values]
+def read_cached_prompts(values):
+    """Return the CachedPrompts decoded from a datagram."""
+    return [CachedPrompt(*value) for value in values]
 
 
 def read_counts(instances, in_flight, work, answers):
     """Return the Counts decoded from a datagram."""
     read = {
-        placer: {name: InFlight(*load) for name, load in loads.items()}
+        placer: {name: UpstreamLoad(*load) for name, load in loads.items()}
         for placer, loads in in_flight.items()
     }
     return Counts(instances, read, work, answers)
@@ -140,7 +142,7 @@
     total = {}
     for loads in several:
         for name, load in loads.items():
-            total[name] = add_loads(total.get(name, NOTHING), load)
+            total[name] = add_loads(total.get(name, NO_LOAD), load)
     return total
 
 
@@ -172,9 +174,9 @@
     """Return loads by upstream less an instance's own, none below zero."""
     left = {}
     for name, load in loads.items():
-        mine = own.get(name, NOTHING)
-        rest = InFlight(*(max(0, a - b) for a, b in zip(load, mine, strict=True)))
-        if rest != NOTHING:
+        mine = own.get(name, NO_LOAD)
+        rest = UpstreamLoad(*(max(0, a - b) for a, b in zip(load, mine, strict=True)))
+        if rest != NO_LOAD:
             left[name] = rest
     return left
 
@@ -213,9 +215,9 @@
             before = before if last_incarnation == incarnation else NO_COUNTS
             gap = now - (self._until[reporter] - REPORT_TIMEOUT)
             fraction = REPORT_TIMEOUT / max(REPORT_TIMEOUT, gap)
-            grow(self._work, before.work, counts.work, fraction)
+            add_growth(self._work, before.work, counts.work, fraction)
             # Each answer counts once, however late its report comes.
-            grow(self._answers, before.answers, counts.answers, 1.0)
+            add_growth(self._answers, before.answers, counts.answers, 1.0)
         self._last_reports[reporter] = (incarnation, counts)
         self._until[reporter] = now + REPORT_TIMEOUT
 
@@ -234,7 +236,7 @@
         return self._loads._replace(work=dict(self._work), answers=dict(self._answers))
 
 
-def grow(total, before, now, fraction):
+def add_growth(total, before, now, fraction):
     """Add to ``total`` a fraction of the difference between two reports.
 
     A reordered older report subtracts what the next report adds again.
@@ -244,18 +246,18 @@
         total[name] = total.get(name, 0.0) + gained * fraction
 
 
-class Placements:
+class CachedPrompts:
     """Upstreams to which others recently sent long prompts; times are seconds."""
 
     def __init__(self):
         self._until = {}
 
-    def hear(self, placements, now):
-        """Record reported placements; repeated reports don't extend their lifetime."""
-        for placement in placements:
-            self._until.setdefault(placement, now + TOLD_FOR)
+    def record(self, cached_prompts, now):
+        """Record reported prompts; repeated reports don't extend their lifetime."""
+        for cached_prompt in cached_prompts:
+            self._until.setdefault(cached_prompt, now + PROMPT_REPORT_SECONDS)
 
-    def list(self, now):
-        """Return the recent placements."""
+    def list_recent(self, now):
+        """Return the recent cached prompts."""
         self._until = {item: at for item, at in self._until.items() if now < at}
         return list(self._until)
--- a/src/chervilwing/local_stores.py
+++ b/src/chervilwing/local_stores.py
@@ -5,9 +5,11 @@
 from circuits.core import BaseComponent, handler
 
 from .clocks import read_boottime
-from .coordination import Sources
+from .coordination import StoreLayout
 from .exceptions import BadConfiguration
-from .items import (
+from .logs import log_event
+from .routing_files import parse_file
+from .store_calls import (
     Changes,
     Commit,
     Committed,
@@ -22,8 +24,6 @@
     TakeLease,
     WatchItems,
 )
-from .logs import log_event
-from .routing_files import parse_file
 
 DOCUMENT_PREFIX = "configuration/"
 UPSTREAM_PREFIX = "upstreams/"
@@ -134,6 +134,6 @@
     KeepLease: LocalStore._answer_lease_call,
     EndLease: LocalStore._answer_lease_call,
 }
-SOURCES = Sources(
+SOURCES = StoreLayout(
     DOCUMENT_PREFIX, UPSTREAM_PREFIX, lambda key, value: value, lambda key, value: value
 )
--- a/src/chervilwing/placing.py
+++ b/src/chervilwing/placement_exchange.py
@@ -8,24 +8,24 @@
 
 from circuits.core import BaseComponent, handler
 
-from .balancing import Estimate, Origin, PoolBalance
+from .balancing import Estimate, PlacementOrigin, PoolBalancer
 from .clocks import read_boottime
-from .fanout import rank
+from .leader_queries import rank_leaders
 from .logs import log_event
-from .placers import (
+from .placer_selection import (
     ANSWER_TIMEOUT,
     Answer,
     Ask,
     AskRateLimit,
+    PlacementHooks,
+    PlacementId,
     PlacerSelector,
-    PlacingHooks,
-    Ticket,
     make_ask,
     order_placers,
     read_demand,
 )
 from .relays import Relay
-from .stations import Station
+from .upstream_states import UpstreamState
 from .usage import name_process
 
 # Kinds of datagrams; see the head of this module.
@@ -47,15 +47,15 @@
 class PlacedRequest(NamedTuple):
     """Where another instance's request was placed, and when its deadline passes."""
 
-    pool: PoolBalance
-    station: Station
+    pool: PoolBalancer
+    upstream_state: UpstreamState
     deadline: float
 
 
 class Placing(BaseComponent):
     """Ask the placer for upstreams, and answer the instances that ask this one."""
 
-    channel = "placing"
+    channel = "placement-exchange"
 
     def __init__(self, cfg, datagrams, coordinator, gateway):
         super().__init__()
@@ -78,9 +78,9 @@
         self._progress = {}
         self._placed = {}
         self._next_expire = 0.0
-        gateway.placing = PlacingHooks(
+        gateway.placing = PlacementHooks(
             self._send_ask,
-            self._read_origin,
+            self._get_origin,
             self._queue_started,
             self._queue_placed_ended,
         )
@@ -109,7 +109,7 @@
         peers = self._coordinator.peers
         near = {n for n, p in peers.items() if p.data_centre == self._cfg.data_centre}
         links = self._coordinator.list_links()
-        ranked = rank([self._cfg.name, *peers], links)
+        ranked = rank_leaders([self._cfg.name, *peers], links)
         self._placer_names = order_placers(ranked, near | {self._cfg.name})
 
     def _select_placer(self, now):
@@ -127,24 +127,24 @@
             return False
         self._last_number += 1
         self._pending[self._last_number] = PendingAsk(relay, target, now)
-        excluded = self._gateway.list_excluded(relay, now)
+        excluded = self._gateway.list_excluded_upstreams(relay, now)
         ask = make_ask(self._last_number, self._cfg, relay, excluded, now)
         self._datagrams.send(ASK, ask, peer.address)
         return True
 
-    def _read_origin(self):
-        """Return the Origin of the choices that this instance makes."""
+    def _get_origin(self):
+        """Return the PlacementOrigin of the choices that this instance makes."""
         places = self._placer == self._cfg.name
-        return Origin(self._cfg.data_centre, self._key if places else "")
+        return PlacementOrigin(self._cfg.data_centre, self._key if places else "")
 
     def _handle_timeout(self, number, item, now):
         """Choose the upstream here after an ask has timed out."""
         del self._pending[number]
         self._selector.record_timeout(item.placer, now)
         # The ask may have arrived, and only its answer been lost.
-        self._queue_ended(Ticket(number, item.placer))
-        if not item.relay.over:
-            self._gateway.place_alone(item.relay, now)
+        self._queue_ended(PlacementId(number, item.placer))
+        if not item.relay.ended:
+            self._gateway.place_locally(item.relay, now)
 
     def _receive_ask(self, address, *fields):
         """Choose an upstream for another instance's request and send the answer."""
@@ -156,20 +156,22 @@
         if pool is None or key in self._placed or not self._rate_limit.allow(now):
             return
         demand = read_demand(ask, now)
-        origin = self._read_origin()._replace(centre=ask.centre)
+        origin = self._get_origin()._replace(data_centre=ask.centre)
         limits = self._gateway.upstream_limits
-        exhausted = limits.list_exhausted(pool.stations, now)
-        limits.seek(exhausted, now)
+        exhausted = limits.list_exhausted(pool.upstream_states, now)
+        limits.request_credit(exhausted, now)
         excluded = exhausted.union(ask.excluded)
         found = pool.choose(demand, excluded, now, origin)
         answer = Answer(ask.number, self._cfg.name, self._key)
         if found is not None:
-            station, estimate = found
-            name = station.registration.name
+            upstream_state, estimate = found
+            name = upstream_state.registration.name
             charged = limits.is_limited(name) and limits.charge(name, now)
-            pool.place(key, demand, found, now)
-            self._placed[key] = PlacedRequest(pool, station, demand.deadline)
-            answer = fill_answer(answer, station, estimate._replace(charged=charged))
+            pool.record_placed(key, demand, found, now)
+            self._placed[key] = PlacedRequest(pool, upstream_state, demand.deadline)
+            answer = fill_answer(
+                answer, upstream_state, estimate._replace(charged=charged)
+            )
         self._datagrams.send(ANSWER, answer, address)
 
     def _receive_answer(self, address, *fields):
@@ -183,15 +185,15 @@
         if item is None:
             return
         self._selector.record_answer(answer.name)
-        relay, ticket = item.relay, Ticket(answer.number, answer.name)
-        found = None if relay.over else self._read_choice(relay, answer, now)
+        relay, placement_id = item.relay, PlacementId(answer.number, answer.name)
+        found = None if relay.ended else self._read_choice(relay, answer, now)
         if found is not None:
-            relay.ticket = ticket
-            self._gateway.place(relay, found, now)
+            relay.placement_id = placement_id
+            self._gateway.send_to_choice(relay, found, now)
             return
-        self._queue_ended(ticket)
-        if not relay.over:
-            self._gateway.place_alone(relay, now)
+        self._queue_ended(placement_id)
+        if not relay.ended:
+            self._gateway.place_locally(relay, now)
 
     def _read_choice(self, relay, answer, now):
         """Return the upstream and Estimate of an answer, or None if it is unusable.
@@ -199,17 +201,17 @@
         This instance may know of a change to the upstream that the placer had not yet
         received when it chose.
         """
-        station = relay.pool.stations.get(answer.upstream)
-        if station is None or station.registration.leaving:
+        upstream_state = relay.pool.upstream_states.get(answer.upstream)
+        if upstream_state is None or upstream_state.registration.leaving:
             return None
-        if answer.upstream in self._gateway.list_excluded(relay, now):
+        if answer.upstream in self._gateway.list_excluded_upstreams(relay, now):
             return None
         limits = self._gateway.upstream_limits
-        stations = {answer.upstream: station}
-        if not answer.charged and limits.list_exhausted(stations, now):
+        upstream_states = {answer.upstream: upstream_state}
+        if not answer.charged and limits.list_exhausted(upstream_states, now):
             return None
-        source = relay.pool.stations.get(answer.source)
-        return station, Estimate(
+        source = relay.pool.upstream_states.get(answer.source)
+        return upstream_state, Estimate(
             answer.seconds,
             answer.prefill,
             source,
@@ -219,20 +221,20 @@
             answer.charged,
         )
 
-    def _queue_ended(self, ticket, failed=None):
+    def _queue_ended(self, placement_id, failed=None):
         """Queue a report that a request has ended or isn't sent where it was placed."""
-        _, ended = self._progress.setdefault(ticket.name, ([], []))
-        ended.append((ticket.number, failed))
+        _, ended = self._progress.setdefault(placement_id.name, ([], []))
+        ended.append((placement_id.number, failed))
 
     def _queue_started(self, relay):
-        if relay.ticket is not None:
-            started, _ = self._progress.setdefault(relay.ticket.name, ([], []))
-            started.append((relay.ticket.number, read_boottime()))
+        if relay.placement_id is not None:
+            started, _ = self._progress.setdefault(relay.placement_id.name, ([], []))
+            started.append((relay.placement_id.number, read_boottime()))
 
     def _queue_placed_ended(self, relay, failed):
-        if relay.ticket is not None:
-            self._queue_ended(relay.ticket, failed)
-            relay.ticket = None
+        if relay.placement_id is not None:
+            self._queue_ended(relay.placement_id, failed)
+            relay.placement_id = None
 
     def _send_progress(self):
         progress, self._progress = self._progress, {}
@@ -252,12 +254,14 @@
             key = (address, number)
             placed = self._placed.get(key)
             if placed is not None:
-                placed.pool.start_placed(placed.station, key, now - age)
+                placed.pool.record_placed_first_byte(
+                    placed.upstream_state, key, now - age
+                )
         for number, failed in ended:
             key = (address, number)
             placed = self._placed.pop(key, None)
             if placed is not None:
-                placed.pool.end_placed(placed.station, key, failed, now)
+                placed.pool.record_placed_end(placed.upstream_state, key, failed, now)
 
     def _expire(self, now):
         for pool in self._gateway.pools.values():
@@ -269,11 +273,11 @@
             del self._placed[key]
 
 
-def fill_answer(answer, station, estimate):
+def fill_answer(answer, upstream_state, estimate):
     """Return the answer, filled in with the chosen upstream and its Estimate."""
     source = estimate.source
     return answer._replace(
-        upstream=station.registration.name,
+        upstream=upstream_state.registration.name,
         seconds=estimate.seconds,
         prefill=estimate.prefill,
         source=source.registration.name if source else "",
--- a/src/chervilwing/platform/cloud.py
+++ b/src/chervilwing/platform/cloud.py
@@ -3,7 +3,14 @@
 import msgspec
 
 from ..connections import Call
-from ..duties import Accepted, Denied, NoAnswer, OrderInstances, Outdated, ReportUsage
+from ..duty_calls import (
+    Accepted,
+    Denied,
+    NoAnswer,
+    OrderInstances,
+    Outdated,
+    ReportUsage,
+)
 from ..stores import collect
 
 CONNECT_TIMEOUT = 0.5
@@ -65,7 +72,7 @@
             msgspec.json.encode(body),
             connect_timeout=CONNECT_TIMEOUT,
             silence_timeout=SILENCE_TIMEOUT,
-            probed=False,
+            probe_if_silent=False,
             send_before=req.send_before,
         )
         handlers = collect(lambda status, data: reply(decode(req, status, data)))
--- a/src/chervilwing/platform/documents.py
+++ b/src/chervilwing/platform/documents.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ..addresses import parse_address
-from ..coordination import Sources
+from ..coordination import StoreLayout
 from ..exceptions import BadConfiguration
 from ..registrations import Registration
 from ..rollouts import RolloutOrder
@@ -14,10 +14,10 @@
     NON_IDEMPOTENT,
     STREAM,
     CallerLimits,
-    EngineTraits,
-    FleetTraits,
+    EngineSpec,
+    FleetSpec,
     Organisation,
-    PoolTraits,
+    PoolSpec,
     Route,
     RoutingDocument,
     Target,
@@ -57,9 +57,9 @@
 
 
 def read_pool(value):
-    """Return the PoolTraits of an entry of ``services``."""
+    """Return the PoolSpec of an entry of ``services``."""
     engine, scale = value.get("engine"), value.get("scale")
-    return PoolTraits(
+    return PoolSpec(
         value["name"],
         value.get("maxConns", 64),
         read_engine(engine) if engine else None,
@@ -68,8 +68,8 @@
 
 
 def read_engine(value):
-    """Return the EngineTraits of ``engine``."""
-    return EngineTraits(
+    """Return the EngineSpec of ``engine``."""
+    return EngineSpec(
         value["slots"],
         value["kvCapacity"],
         value.get("kvTokenBytes", 0.0),
@@ -78,8 +78,8 @@
 
 
 def read_fleet(value):
-    """Return the FleetTraits of ``scale``; ``min`` and ``max`` are per data centre."""
-    return FleetTraits(
+    """Return the FleetSpec of ``scale``; ``min`` and ``max`` are per data centre."""
+    return FleetSpec(
         value["min"],
         value["max"],
         value.get("bootTimeS", 0.0),
@@ -210,7 +210,7 @@
     return (ROLLOUT_STATUS_PREFIX + pool, value, 0)
 
 
-SOURCES = Sources(
+SOURCES = StoreLayout(
     "op/",
     REGISTRATION_PREFIX,
     read_document,
--- a/src/chervilwing/relays.py
+++ b/src/chervilwing/relays.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from .events import EventReader
-from .fingerprints import fingerprint_repeats
+from .fingerprints import make_retry_fingerprint
 
 # Bytes of an answer that are buffered until it is complete, so that a broken answer can
 # be retried or refused and the caller never receives part of it. Usual answers have
@@ -73,14 +73,14 @@
         "limit",
         "may_have_run",
         "organisation",
-        "over",
+        "ended",
         "pool",
         "received_at",
         "route",
         "sent_at",
-        "station",
+        "upstream_state",
         "first_byte_at",
-        "ticket",
+        "placement_id",
         "tried_upstreams",
     )
 
@@ -93,17 +93,17 @@
         self.received_at = now
         self.deadline = demand.deadline
         self.headers = exchange.req.headers
-        self.fingerprint = fingerprint_repeats(exchange.req, self.name)
+        self.fingerprint = make_retry_fingerprint(exchange.req, self.name)
         # Random number from 0 to 1 that decides whether a request is sent to a version
         # that is being rolled out.
         self.rollout_draw = 1.0
         self.tried_upstreams = set()
         self.attempts = 0
         self.call = None
-        self.station = None
+        self.upstream_state = None
         # Identifies this request to the instance that chose its upstream; None if this
         # instance did.
-        self.ticket = None
+        self.placement_id = None
         self.estimate = None
         self.sent_at = now
         self.first_byte_at = None
@@ -121,7 +121,7 @@
         self.cost = 0.0
         # When the cost was charged, None before that.
         self.charged_at = None
-        self.over = False
+        self.ended = False
 
     @property
     def name(self):
@@ -154,7 +154,7 @@
         request=relay.demand.request_id,
         customer=relay.name,
         route=relay.route.name,
-        upstream=relay.station.registration.name if relay.station else "",
+        upstream=relay.upstream_state.registration.name if relay.upstream_state else "",
         tries=relay.attempts,
         outcome=outcome,
         cause=cause,
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -13,7 +13,7 @@
     STREAM,
     CallerLimits,
     Organisation,
-    PoolTraits,
+    PoolSpec,
     Route,
     RoutingDocument,
     Target,
@@ -72,12 +72,12 @@
 
 def make_document(version=1, **changes):
     """Return a routing document with ROUTES and one pool, ``web``."""
-    pools = (PoolTraits("web"),)
+    pools = (PoolSpec("web"),)
     document = RoutingDocument(version, ROUTES, pools, ORGANISATIONS, CallerLimits())
     return document._replace(**changes)
 
 
-class GatewayRun:
+class GatewayThread:
     """A gateway whose event loop runs in a thread; ``close`` stops it all."""
 
     def __init__(self, dialect, *scripts, document=None, keys_are_fresh=lambda: True):
@@ -89,7 +89,7 @@
         ).register(self.loop.root)
         self.gateway.on_usage = lambda name, seconds_ago: self.usage.append(name)
         self.port = self.gateway.web.listen(ANY).port
-        self.gateway.allowances.set_known(1, read_boottime())
+        self.gateway.allowances.set_instance_count(1, read_boottime())
         if document is not None:
             self.gateway.configure(document)
         self.upstreams = [RawUpstream(script) for script in scripts]
--- a/tests/placing_fleet.py
+++ b/tests/placing_fleet.py
@@ -8,20 +8,20 @@
 
 import msgpack
 
-from chervilwing import placing
+from chervilwing import placement_exchange
 from chervilwing.allowances import Allowances
-from chervilwing.balancing import PoolBalance
+from chervilwing.balancing import PoolBalancer
 from chervilwing.coordination import Peer
 from chervilwing.demands import Demand, PromptPart
 from chervilwing.models import Address
-from chervilwing.placing import Placing
+from chervilwing.placement_exchange import Placing
 from chervilwing.registrations import Registration
-from chervilwing.routing import EngineTraits, PoolTraits
+from chervilwing.routing import EngineSpec, PoolSpec
 from chervilwing.upstream_limits import UpstreamLimits
 from tests.gateways import make_settings
 
 CENTRES = ("a", "b", "c")
-TRAITS = PoolTraits("engines", engine=EngineTraits(64, 372_000))
+SPEC = PoolSpec("engines", engine=EngineSpec(64, 372_000))
 TICK = 0.05
 # Seconds from sending a request until its prompt is read, and until its answer ends.
 READ_TIME = 0.1
@@ -59,7 +59,7 @@
             incarnation=next(fleet.order) * BETWEEN_STARTS,
         )
         self.upstream_limits = UpstreamLimits(Allowances())
-        self.pools = {"engines": PoolBalance(TRAITS, self.cfg.data_centre, fleet.rng)}
+        self.pools = {"engines": PoolBalancer(SPEC, self.cfg.data_centre, fleet.rng)}
         for number in range(engines):
             self.put(f"u{number}", leaving=False)
         self.datagrams = FakeDatagrams(fleet, name)
@@ -75,37 +75,39 @@
         """Register an upstream, or mark it as leaving."""
         centre = CENTRES[int(upstream[1:]) % len(CENTRES)]
         address = Address("10.1.0.1", int(upstream[1:]))
-        self.pools["engines"].put(
+        self.pools["engines"].put_upstream(
             Registration(upstream, "engines", address, centre, 64, leaving)
         )
 
-    def place_alone(self, relay, now):
+    def place_locally(self, relay, now):
         self.unanswered += 1
-        self.choose(relay, now)
+        self.choose_upstream(relay, now)
 
-    def list_excluded(self, relay, now):
+    def list_excluded_upstreams(self, relay, now):
         return relay.tried
 
-    def choose(self, relay, now):
+    def choose_upstream(self, relay, now):
         """Choose an upstream here and send the request."""
-        origin = self.placing._read_origin()
-        self.place(relay, relay.pool.choose(relay.demand, (), now, origin), now)
+        origin = self.placing._get_origin()
+        self.send_to_choice(
+            relay, relay.pool.choose(relay.demand, (), now, origin), now
+        )
 
-    def place(self, relay, found, now):
+    def send_to_choice(self, relay, found, now):
         """Record a request as sent, and schedule its first byte and its end."""
-        station, estimate = found
-        self.sent.append((relay.demand.request_id, station))
-        relay.pool.send(station, relay.demand, estimate, now)
-        self.fleet.call_later(READ_TIME, self._start, relay, station)
-        self.fleet.call_later(RUN_TIME, self._end, relay, station)
-
-    def _start(self, relay, station):
-        if relay.pool.start(station, relay.demand, self.fleet.now):
+        upstream_state, estimate = found
+        self.sent.append((relay.demand.request_id, upstream_state))
+        relay.pool.record_sent(upstream_state, relay.demand, estimate, now)
+        self.fleet.call_later(READ_TIME, self._start, relay, upstream_state)
+        self.fleet.call_later(RUN_TIME, self._end, relay, upstream_state)
+
+    def _start(self, relay, upstream_state):
+        if relay.pool.record_first_byte(upstream_state, relay.demand, self.fleet.now):
             self.placing._queue_started(relay)
 
-    def _end(self, relay, station):
-        relay.over = True
-        relay.pool.end(station, relay.demand, False, self.fleet.now)
+    def _end(self, relay, upstream_state):
+        relay.ended = True
+        relay.pool.record_end(upstream_state, relay.demand, False, self.fleet.now)
         self.placing._queue_placed_ended(relay, False)
 
 
@@ -182,12 +184,12 @@
             demand=demand,
             pool=instance.pools["engines"],
             tried=set(),
-            over=False,
-            ticket=None,
+            ended=False,
+            placement_id=None,
         )
         self.requests.append((name, demand.request_id))
         if not instance.placing._send_ask(relay, self.now):
-            instance.choose(relay, self.now)
+            instance.choose_upstream(relay, self.now)
 
     def list_living(self):
         return [i for name, i in self.instances.items() if name not in self.dead]
@@ -200,7 +202,7 @@
     def restart(self, name):
         """Restart an instance without its state, under a new incarnation."""
         sent = self.instances[name].sent
-        engines = len(self.instances[name].pools["engines"].stations)
+        engines = len(self.instances[name].pools["engines"].upstream_states)
         self.instances[name] = Instance(self, name, engines)
         self.instances[name].sent = sent
         self.lost_instances.add(name)
@@ -208,7 +210,7 @@
 
     def run(self, until):
         """Run events and ticks of all instances until a time in seconds."""
-        with mock.patch.object(placing, "read_boottime", lambda: self.now):
+        with mock.patch.object(placement_exchange, "read_boottime", lambda: self.now):
             ticks = self.now
             while self.now < until:
                 due = self._due[0][0] if self._due else until
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -6,12 +6,18 @@
 import unittest
 
 from chervilwing.clocks import read_boottime
-from chervilwing.crashes import CRASH_LIMIT
-from chervilwing.fingerprints import fingerprint_repeats
+from chervilwing.crash_records import CRASH_LIMIT
+from chervilwing.fingerprints import make_retry_fingerprint
 from chervilwing.parsers import HttpRequest
 from chervilwing.platform.headers import DIALECT
-from tests.crashing import COMPLETE, CRASHING, HEAD, CrashingUpstream, count_crashed
-from tests.gateways import GatewayRun, make_document
+from tests.crashing_upstreams import (
+    COMPLETE,
+    CRASHING,
+    HEAD,
+    CrashingUpstream,
+    count_crashed,
+)
+from tests.gateways import GatewayThread, make_document
 from tests.procs import CHUNK, HOST, Caller, poll
 from tests.test_gateway import break_off
 from tests.test_platform import PlatformCase
@@ -26,7 +32,7 @@
 class TestOneInstance(unittest.TestCase):
     def start(self, begins=False):
         """Start a gateway in front of upstreams that a request may crash."""
-        self.run_ = GatewayRun(DIALECT, document=make_document())
+        self.run_ = GatewayThread(DIALECT, document=make_document())
         self.addCleanup(self.run_.close)
         self.upstreams = [CrashingUpstream(begins) for _ in range(TRIES * 3)]
         for number, upstream in enumerate(self.upstreams):
@@ -92,7 +98,7 @@
 class TestNoCrash(unittest.TestCase):
     def start(self, *scripts):
         """Start a gateway in front of upstreams with these scripts."""
-        self.run_ = GatewayRun(DIALECT, *scripts, document=make_document())
+        self.run_ = GatewayThread(DIALECT, *scripts, document=make_document())
         self.addCleanup(self.run_.close)
         return self.run_
 
@@ -107,13 +113,13 @@
 
     def count(self, body):
         """Return the number of suspected crashes once no probe is open."""
-        poll(lambda: not self.run_.gateway.crash_watch.is_probing)
+        poll(lambda: not self.run_.gateway.crash_detection.is_probing)
         return self.count_now(body)
 
     def count_now(self, body, path="/note/x"):
         """Return the number of crashes that a request is suspected of now."""
         req = HttpRequest("POST", path, "", {"host": "a.example"}, body, True)
-        fingerprint = fingerprint_repeats(req, "insurer")
+        fingerprint = make_retry_fingerprint(req, "insurer")
         return self.run_.gateway.crashes.count(fingerprint, read_boottime())
 
     def test_a_reset_connection_bars_no_request(self):
@@ -144,7 +150,7 @@
         upstream.script = break_off
         upstream.listener.shutdown(socket.SHUT_RDWR)
         kept = run.gateway.relays.copy()
-        run.gateway.crash_watch.note_broken(next(iter(kept)), read_boottime())
+        run.gateway.crash_detection.handle_broken(next(iter(kept)), read_boottime())
         self.assertEqual(self.count(b"slow"), 0)
         upstream.close()
         beside.join()
@@ -152,8 +158,8 @@
     def test_an_upstream_that_stays_registered_has_not_crashed(self):
         # All requests of its pool are barred, so no answer can show that it is running.
         run, _ = self.start_crashed()
-        run.gateway.registrations_since = lambda: float("-inf")
-        watch = run.gateway.crash_watch
+        run.gateway.registrations_fresh_since = lambda: float("-inf")
+        watch = run.gateway.crash_detection
         watch.clear_registered(read_boottime() + LAPSED_AFTER - 1.0)
         self.assertEqual(self.count_now(b"n"), 1)
         watch.clear_registered(read_boottime() + LAPSED_AFTER + 0.1)
@@ -161,13 +167,13 @@
 
     def test_a_crash_still_counts_after_the_registration_has_lapsed(self):
         run, _ = self.start_crashed()
-        watch = run.gateway.crash_watch
+        watch = run.gateway.crash_detection
         # No registration lapses while the store is away and some seconds after that.
         for since in (read_boottime() + 1.0, float("inf")):
-            run.gateway.registrations_since = lambda since=since: since
+            run.gateway.registrations_fresh_since = lambda since=since: since
             watch.clear_registered(read_boottime() + LAPSED_AFTER + 0.1)
             self.assertEqual(self.count_now(b"n"), 1)
-        run.gateway.registrations_since = lambda: float("-inf")
+        run.gateway.registrations_fresh_since = lambda: float("-inf")
         run.gateway.remove_upstream("u0", float("-inf"))
         watch.clear_registered(read_boottime() + LAPSED_AFTER + 0.1)
         self.assertEqual(self.count_now(b"n"), 1)
@@ -245,7 +251,7 @@
         for number in range(CRASH_LIMIT):
             upstream = CrashingUpstream()
             self.addCleanup(upstream.close)
-            run.gateway.drop_upstream("u0")
+            run.gateway.remove_upstream_now("u0")
             run.gateway.put_upstream(run.register("u0", upstream.port))
             self.assertEqual(run.call("POST", "/note/x", b"n").status, 200)
             self.assertEqual(run.call("POST", "/note/x", CRASHING).status, 502)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,8 +8,8 @@
 
 from chervilwing.attempts import compute_idle_limit
 from chervilwing.platform.headers import DIALECT
-from chervilwing.routing import Organisation, PoolTraits
-from tests.gateways import GatewayRun, make_document
+from chervilwing.routing import Organisation, PoolSpec
+from tests.gateways import GatewayThread, make_document
 from tests.procs import Caller, poll
 
 SIGNED = b"HTTP/1.1 200 OK\r\nX-Server-Stamp: s\r\n"
@@ -64,7 +64,9 @@
     def start(self, *scripts, document=None, **options):
         """Start a gateway with one upstream for each script."""
         document = make_document() if document is None else document
-        self.gateway_run = GatewayRun(DIALECT, *scripts, document=document, **options)
+        self.gateway_run = GatewayThread(
+            DIALECT, *scripts, document=document, **options
+        )
         self.addCleanup(self.gateway_run.close)
         return self.gateway_run
 
@@ -188,14 +190,14 @@
         self.assertNotIn("content-length", response.headers)
 
     def test_an_instance_keeps_fewer_idle_connections_in_a_larger_fleet(self):
-        traits = PoolTraits("web", connections=470)
+        spec = PoolSpec("web", connections=470)
         for instances, expected in ((7, 8), (68, 2), (320, 1)):
-            self.assertEqual(compute_idle_limit(traits, instances), expected)
+            self.assertEqual(compute_idle_limit(spec, instances), expected)
 
 
 class TestRefusals(GatewayCase):
     def test_without_a_configuration_requests_are_refused_with_retry_after(self):
-        run = GatewayRun(DIALECT)
+        run = GatewayThread(DIALECT)
         self.addCleanup(run.close)
         response = run.call("GET", "/page/x")
         self.assertEqual(response.status, 503)
@@ -445,9 +447,9 @@
         self.assertEqual(run.call("GET", "/page/x").status, 200)
         port = run.upstreams[0].port
         pool = run.gateway.pools["web"]
-        old_state = pool.stations["u0"]
+        old_state = pool.upstream_states["u0"]
         run.gateway.put_upstream(run.register("u0", port, started_at=9.0))
-        self.assertIsNot(pool.stations["u0"], old_state)
+        self.assertIsNot(pool.upstream_states["u0"], old_state)
         self.assertEqual(run.call("POST", "/note/x").status, 200)
         self.assertEqual(len(run.upstreams[0].conns), 2)
 
