--- a/src/chervilwing/__init__.py
+++ b/src/chervilwing/__init__.py
@@ -9,8 +9,8 @@
 
 __version__ = "0.1.0"
 
-# Name to module. Loaded at their first use: a gateway that starts after a loss of power
-# is waited for, and reading what it never uses took a fifth of its start.
+# Modules of the public names. They are imported at first use: modules that the gateway
+# never uses took a fifth of its start time, for which callers wait after a power loss.
 _HOMES = {
     "ChervilwingError": "exceptions",
     "Configuration": "models",
--- a/src/chervilwing/admin.py
+++ b/src/chervilwing/admin.py
@@ -1,4 +1,4 @@
-"""The paths under ``/-/``: health for the balancer, figures and stop for operators."""
+"""Serve the paths under ``/-/``: health checks, metrics, status and planned stop."""
 
 from . import __version__, operators, reports
 from .completions import read_json
@@ -6,7 +6,7 @@
 
 
 class Admin:
-    """Answer for one instance; the daemon registers ``routes`` with the dispatcher."""
+    """Serve an instance's own paths, which ``routes`` lists."""
 
     def __init__(
         self, cfg, dispatcher, explain_not_ready, describe_peers, drain, describe_orders
@@ -20,21 +20,21 @@
         self.routes = {
             ("GET", "/-/live"): self._live,
             ("GET", "/-/ready"): self._ready,
-            ("GET", "/-/metrics"): self._guard(self._metrics),
-            ("GET", "/-/histograms"): self._guard(self._histograms),
-            ("GET", "/-/status"): self._guard(self._status),
+            ("GET", "/-/metrics"): self._require_key(self._metrics),
+            ("GET", "/-/histograms"): self._require_key(self._histograms),
+            ("GET", "/-/status"): self._require_key(self._status),
             ("POST", "/-/drain"): self._start_drain,
         }
 
-    def _guard(self, serve):
+    def _require_key(self, serve):
         def check_and_serve(exchange):
             operators.check_key(self._cfg.operator_key_hash, exchange.req.headers)
             serve(exchange)
 
         return check_and_serve
 
-    def explain(self):
-        """Return why the instance takes no new work, or None."""
+    def check_ready(self):
+        """Return the NotReady error if the instance accepts no new work, else None."""
         if self._dispatch.draining:
             return NotReady("The instance is stopping.", retry_after=1.0)
         if self._dispatch.directory is None:
@@ -46,7 +46,7 @@
         exchange.answer_json(200, {"live": True})
 
     def _ready(self, exchange):
-        reason = self.explain()
+        reason = self.check_ready()
         if reason is not None:
             raise reason
         exchange.answer_json(200, {"ready": True})
@@ -61,7 +61,7 @@
     def _status(self, exchange):
         dispatcher = self._dispatch
         orders, purchases = self._describe_orders()
-        reason = self.explain()
+        reason = self.check_ready()
         directory = dispatcher.directory
         upstreams = sorted(directory.upstreams.values()) if directory else ()
         value = {
--- a/src/chervilwing/buyer.py
+++ b/src/chervilwing/buyer.py
@@ -1,4 +1,4 @@
-"""Buy and give back instances, where this instance is the fleet's holder."""
+"""Buy and release instances for the fleets whose duty this instance holds."""
 
 import json
 import time
@@ -24,26 +24,28 @@
 )
 from .stores import JSON_HEADERS, collect_json
 
-# One holder for all data centres: no data centre has this name.
-EVERYWHERE = "*"
+# In place of a data centre's name: a fleet has one holder for all data centres.
+ALL_DATA_CENTRES = "*"
 PURCHASES_KEY = "purchases/{}"
-CREATED = 201
-REFUSED = 503
-# Seconds between two steps of a fleet. Load: a wave of reclaims. Harm: dozens of buys
-# before the first is seen to be refused; one at a time still makes 60 a minute.
-STEP_EVERY = 1.0
-PRICES_EVERY = 30.0
+HTTP_CREATED = 201
+HTTP_UNAVAILABLE = 503
+# Seconds between two steps of a fleet. After a wave of reclaims it would otherwise send
+# dozens of purchases before the first refusal arrives; one per step still allows 60 a
+# minute.
+STEP_INTERVAL = 1.0
+# Seconds between two requests for the prices.
+PRICES_INTERVAL = 30.0
 
 
 class FleetTask:
-    """What one instance knows of one fleet."""
+    """State of one fleet on this instance."""
 
     def __init__(self, cfg, fleet, names):
         self.planner = FleetPlanner(fleet)
-        self.holder = Holder(OrderSettings(), cfg.name, EVERYWHERE, fleet.pool)
+        self.holder = Holder(OrderSettings(), cfg.name, ALL_DATA_CENTRES, fleet.pool)
         self.holder.enlist(names)
         self.key = PURCHASES_KEY.format(fleet.pool)
-        self.rows = None
+        self.purchases = None
         self.version = ABSENT
         self.busy = False
         self.step_at = 0.0
@@ -52,7 +54,7 @@
 
 
 class Buyer(BaseComponent):
-    """Drive the planners of the fleets."""
+    """Run the planners of all fleets and carry out their plans."""
 
     channel = "buyer"
 
@@ -69,13 +71,13 @@
         self._prices_at = 0.0
 
     def enlist(self, names):
-        """Take the live entry instances of all data centres."""
+        """Update the live entry instances of all data centres."""
         self._names = names
         for task in self._fleets.values():
             task.holder.enlist(names)
 
     def describe(self):
-        """Return the state of each fleet's holder by pool."""
+        """Return the holder state of each fleet by pool."""
         return {pool: task.holder.state for pool, task in self._fleets.items()}
 
     @handler("tick", channel="*")
@@ -85,15 +87,15 @@
             return
         now = time.monotonic()
         for fleet in configuration.rules.fleets:
-            task = self._find(fleet)
+            task = self._get_task(fleet)
             self._apply(task, task.holder.tick(now))
             if not task.holder.may_act(now):
-                task.rows = None
+                task.purchases = None
             elif not task.busy and now >= task.step_at:
-                task.step_at = now + STEP_EVERY
+                task.step_at = now + STEP_INTERVAL
                 self._step(task, now)
 
-    def _find(self, fleet):
+    def _get_task(self, fleet):
         task = self._fleets.get(fleet.pool)
         if task is None:
             task = FleetTask(self._cfg, fleet, self._names)
@@ -104,9 +106,9 @@
     def _apply(self, task, actions):
         for action in actions:
             if isinstance(action, StoreCall):
-                self._ask(task, action)
+                self._call_store(task, action)
 
-    def _ask(self, task, action):
+    def _call_store(self, task, action):
         def received(token, reply):
             now = time.monotonic()
             self._apply(task, task.holder.receive(token, reply, now))
@@ -114,153 +116,166 @@
         self._store.carry(action, received)
 
     def _step(self, task, now):
-        """Do the one thing that comes first."""
+        """Carry out the most urgent action of a fleet."""
         if now >= self._prices_at:
-            self._prices_at = now + PRICES_EVERY
-            self._call("GET", "/prices", None, self._take_prices)
-        if task.rows is None:
-            self._read(task)
+            self._prices_at = now + PRICES_INTERVAL
+            self._call("GET", "/prices", None, self._update_prices)
+        if task.purchases is None:
+            self._read_purchases(task)
             return
-        for row in task.rows:
-            if row.state == ASKED:
-                self._buy(task, row)
+        for purchase in task.purchases:
+            if purchase.state == ASKED:
+                self._buy(task, purchase)
                 return
-            if row.state == LEAVING and self._is_known(row.instance):
-                # The holder that wrote this ended before it told the others.
-                self._release(task, row)
+            if purchase.state == LEAVING and self._is_available(purchase.instance):
+                # The holder that wrote this ended before it announced the release.
+                self._release(task, purchase)
                 return
-            if row.state == LEAVING and time.time() >= row.at:
-                self._give_back(task, row)
+            if purchase.state == LEAVING and time.time() >= purchase.at:
+                self._return_instance(task, purchase)
                 return
         self._plan(task, now)
 
-    def _read(self, task):
-        """Take over the record: an old holder's next write then fails."""
+    def _read_purchases(self, task):
+        """Read and rewrite the purchases, so that an old holder's next write fails."""
         task.busy = True
 
         def received(reply):
             task.busy = False
             if isinstance(reply, Found):
                 try:
-                    rows = decode_purchases(reply.value)
+                    purchases = decode_purchases(reply.value)
                 except (ValueError, TypeError):
                     log_event("purchases unreadable", key=task.key)
                     return
-                self._write(task, rows, reply.version)
+                self._write_purchases(task, purchases, reply.version)
             elif isinstance(reply, Missing):
-                self._write(task, (), ABSENT)
+                self._write_purchases(task, (), ABSENT)
 
         self._store.submit(Read(task.key), received)
 
-    def _write(self, task, rows, expect=None, then=None):
-        """Store the rows; whatever isn't a plain yes has them read again."""
+    def _write_purchases(self, task, purchases, expect=None, then=None):
+        """Store the purchases; unless that succeeds they are read again."""
         task.busy = True
         expect = task.version if expect is None else expect
-        task.rows = None
+        task.purchases = None
 
         def received(reply):
             task.busy = False
             if isinstance(reply, Written):
-                task.rows, task.version = rows, reply.version
+                task.purchases, task.version = purchases, reply.version
                 if then is not None and task.holder.may_act(time.monotonic()):
                     then()
 
-        request = Write(task.key, encode_purchases(rows), expect)
+        request = Write(task.key, encode_purchases(purchases), expect)
         self._store.submit(request, received)
 
-    def _replace(self, task, row, *changed, then=None):
-        rows = tuple(item for item in task.rows if item != row)
-        self._write(task, (*rows, *changed), then=then)
+    def _replace_purchase(self, task, purchase, *changed, then=None):
+        purchases = tuple(item for item in task.purchases if item != purchase)
+        self._write_purchases(task, (*purchases, *changed), then=then)
 
     def _plan(self, task, now):
         pool = task.planner.fleet.pool
         scheduler = self._dispatch.scheduler
         upstreams = [upstream for upstream, _ in scheduler.list_engines(pool)]
-        known = set(filter(self._is_known, self._dispatch.directory.upstreams))
-        # Guard: a new holder has not seen the instances that left before its time, and
-        # would wait ten minutes for each as for one that was bought just now.
-        task.seen |= known | set(self._dispatch.leaving)
-        lost = find_lost(task.rows, known, task.seen, time.time())
+        available = set(filter(self._is_available, self._dispatch.directory.upstreams))
+        # A new holder has not seen instances that left earlier. Without the leaving
+        # ones it would wait ten minutes for each, as for an instance that was just
+        # bought.
+        task.seen |= available | set(self._dispatch.leaving)
+        lost = find_lost(task.purchases, available, task.seen, time.time())
         if lost is not None:
-            # It never came, or is being reclaimed and ends what it can until then.
+            # It never registered, or it is being reclaimed and finishes its work.
             self._release(task, lost)
             return
-        situation = self._describe(task, pool, upstreams, known, now)
+        situation = self._describe(task, pool, upstreams, available, now)
         plan = task.planner.plan(situation, now)
         if plan.buys:
-            self._begin(task, plan.buys[0])
+            self._start_purchase(task, plan.buys[0])
             return
-        # What is under way may be refused yet: nothing is given back for it.
+        # Instances that were bought but don't serve yet may still be refused, so none
+        # is released in their place.
         if len(situation.owned) > len(upstreams):
             return
-        for row in task.rows:
-            if row.instance in plan.returns:
-                self._release(task, row)
+        for purchase in task.purchases:
+            if purchase.instance in plan.returns:
+                self._release(task, purchase)
                 return
 
-    def _is_known(self, name):
+    def _is_available(self, name):
         dispatcher = self._dispatch
         return name in dispatcher.directory.upstreams and name not in dispatcher.leaving
 
-    def _describe(self, task, pool, upstreams, known, now):
+    def _describe(self, task, pool, upstreams, available, now):
         machines = {item.machine_class: Machine(item.slots) for item in upstreams}
         centres = {
             item.zone or item.data_centre: item.data_centre for item in upstreams
         }
         load = self._dispatch.scheduler.measure_load(pool)
         needed = task.planner.measure(load, now)
-        owned = list_owned(task.rows, upstreams, known, machines, Machine())
+        owned = list_owned(task.purchases, upstreams, available, machines, Machine())
         return Situation(self._offers, owned, needed, machines, centres)
 
-    def _begin(self, task, offer):
+    def _start_purchase(self, task, offer):
         task.count += 1
-        # The fence is this holder's alone, so no other makes the same request.
+        # The fence token is unique to this holder and makes the request id unique.
         request = f"{task.planner.fleet.pool}-{task.holder.fence}-{task.count}"
-        row = make_purchase(request, offer, time.time())
-        self._write(task, (*task.rows, row), then=lambda: self._buy(task, row))
+        purchase = make_purchase(request, offer, time.time())
+        self._write_purchases(
+            task, (*task.purchases, purchase), then=lambda: self._buy(task, purchase)
+        )
 
-    def _buy(self, task, row):
+    def _buy(self, task, purchase):
         task.busy = True
-        body = {"zone": row.zone, "machine_class": row.machine_class}
-        body |= {"market": row.market, "request": row.request}
+        body = {"zone": purchase.zone, "machine_class": purchase.machine_class}
+        body |= {"market": purchase.market, "request": purchase.request}
         body |= {"pool": task.planner.fleet.pool}
         log_event("buy", **body)
 
         def answered(status, value):
             task.busy = False
-            if task.rows is None or row not in task.rows:
+            if task.purchases is None or purchase not in task.purchases:
                 return
-            if status == CREATED and isinstance(value, dict) and value.get("instance"):
-                task.planner.refusals.forget(get_offer(row))
+            if (
+                status == HTTP_CREATED
+                and isinstance(value, dict)
+                and value.get("instance")
+            ):
+                task.planner.refusals.forget(get_offer(purchase))
                 name = str(value["instance"])
-                bought = row._replace(state=BOUGHT, instance=name, at=time.time())
-                self._replace(task, row, bought)
-            elif status == REFUSED:
-                log_event("buy refused", request=row.request, zone=row.zone)
-                task.planner.refusals.record(get_offer(row), time.monotonic())
-                self._replace(task, row)
+                bought = purchase._replace(state=BOUGHT, instance=name, at=time.time())
+                self._replace_purchase(task, purchase, bought)
+            elif status == HTTP_UNAVAILABLE:
+                log_event("buy refused", request=purchase.request, zone=purchase.zone)
+                task.planner.refusals.record(get_offer(purchase), time.monotonic())
+                self._replace_purchase(task, purchase)
 
         self._call("POST", "/instances", body, answered)
 
-    def _release(self, task, row):
-        """Let an instance's work end before it is given back."""
+    def _release(self, task, purchase):
+        """Mark an instance as leaving, so that its work ends before it is returned."""
         deadline = time.time() + self._cfg.request_timeout
-        left = row._replace(state=LEAVING, at=deadline)
-        told = lambda: self._leave(row.instance, deadline)
-        self._replace(task, row, left, then=told)
+        leaving = purchase._replace(state=LEAVING, at=deadline)
+        notify = lambda: self._leave(purchase.instance, deadline)
+        self._replace_purchase(task, purchase, leaving, then=notify)
 
-    def _give_back(self, task, row):
+    def _return_instance(self, task, purchase):
         task.busy = True
-        log_event("give back", instance=row.instance)
+        log_event("give back", instance=purchase.instance)
 
         def answered(status, value):
             task.busy = False
-            if status and status < REFUSED and task.rows and row in task.rows:
-                self._replace(task, row)
+            if (
+                status
+                and status < HTTP_UNAVAILABLE
+                and task.purchases
+                and purchase in task.purchases
+            ):
+                self._replace_purchase(task, purchase)
 
-        self._call("DELETE", f"/instances/{row.instance}", None, answered)
+        self._call("DELETE", f"/instances/{purchase.instance}", None, answered)
 
-    def _take_prices(self, status, value):
+    def _update_prices(self, status, value):
         try:
             self._offers = tuple(
                 Offer(
@@ -273,7 +288,7 @@
                 for row in value["prices"]
             )
         except (KeyError, TypeError, ValueError):
-            # Prices of a while ago are better than none.
+            # Keep the previous prices.
             return
 
     def _call(self, method, path, body, answered):
--- a/src/chervilwing/embedded.py
+++ b/src/chervilwing/embedded.py
@@ -1,8 +1,7 @@
-"""Stand-ins inside the daemon for `make serve`: a store, an engine and a service.
+"""Run a store, an engine and a service inside the daemon, for ``make serve``.
 
-They let one process show the whole path on a fresh clone. They keep the protocols of
-docs/PROTOCOLS.md but have none of the faults that tests need; those live in
-tests/fakes.
+With them one process serves requests on a fresh clone. They implement the protocols of
+docs/PROTOCOLS.md without the fault injection that tests need, which is in tests/fakes.
 """
 
 import json
@@ -33,18 +32,18 @@
 )
 from .web import EVENTS_TYPE, Web, WebHandlers, guard
 
-# Seconds between two tokens: letter 1 promises 63 ms to callers.
-TOKEN_TIME = 0.03
+# Seconds between two tokens; callers are promised at most 63 ms.
+TOKEN_INTERVAL = 0.03
 LOOPBACK = Address("127.0.0.1", 0)
-WORDS = "the quick brown fox jumps over the lazy dog and rests".split()
+SAMPLE_WORDS = "the quick brown fox jumps over the lazy dog and rests".split()
 
 
 def read_body(exchange):
-    """Return the JSON object that a request carries."""
+    """Return the JSON value in a request's body, or raise BadRequest."""
     try:
         return json.loads(exchange.req.body or b"{}")
     except ValueError as exc:
-        raise BadRequest("The body is no JSON.") from exc
+        raise BadRequest("The body is not valid JSON.") from exc
 
 
 class _Watcher(NamedTuple):
@@ -55,13 +54,13 @@
 
 
 class StoreServer(BaseComponent):
-    """Keep values with versions, leases and watches in memory."""
+    """Serve a key-value store in memory, with versions, leases and watches."""
 
     channel = "embedded-store"
 
     def __init__(self, cfg, poller):
         super().__init__()
-        handlers = WebHandlers(guard(self._requested), self._left)
+        handlers = WebHandlers(guard(self._handle_request), self._handle_disconnect)
         self._web = Web(cfg, poller, handlers, "embedded-store-web").register(self)
         self._values = {}
         self._versions = {}
@@ -75,7 +74,7 @@
             ("GET", "keys"): self._list,
             ("GET", "watch"): self._watch,
             ("POST", "leases"): self._lease,
-            ("DELETE", "leases"): self._drop_lease,
+            ("DELETE", "leases"): self._end_lease,
         }
 
     def listen(self):
@@ -83,10 +82,10 @@
         return self._web.listen(LOOPBACK)
 
     def seed(self, document):
-        """Put a first configuration in."""
+        """Store the first configuration."""
         self._put(CONFIG_KEY, document)
 
-    def _requested(self, exchange):
+    def _handle_request(self, exchange):
         req = exchange.req
         kind, _, rest = req.path.lstrip("/").partition("/")
         serve = self._routes.get((req.method, kind))
@@ -94,12 +93,12 @@
             raise NotFound()
         serve(exchange, rest)
 
-    def _left(self, exchange):
+    def _handle_disconnect(self, exchange):
         self._watchers = [
             item for item in self._watchers if item.exchange is not exchange
         ]
 
-    def _current(self, key):
+    def _make_reply(self, key):
         return {"value": self._values.get(key, ""), "version": self._version(key)}
 
     def _version(self, key):
@@ -107,12 +106,12 @@
 
     def _read(self, exchange, key):
         status = 200 if key in self._values else 404
-        exchange.answer_json(status, self._current(key))
+        exchange.answer_json(status, self._make_reply(key))
 
     def _write(self, exchange, key):
         body = read_body(exchange)
         if body.get("expect") != self._version(key):
-            exchange.answer_json(409, self._current(key))
+            exchange.answer_json(409, self._make_reply(key))
             return
         lease = body.get("lease")
         if lease is not None and lease not in self._leases:
@@ -126,11 +125,11 @@
     def _put(self, key, value):
         self._values[key] = value
         self._versions[key] = self._versions.get(key, 0) + 1
-        self._wake(key)
+        self._notify_watchers(key)
 
     def _delete(self, exchange, key):
         if read_body(exchange).get("expect") != self._version(key):
-            exchange.answer_json(409, self._current(key))
+            exchange.answer_json(409, self._make_reply(key))
             return
         self._values.pop(key, None)
         exchange.answer_json(200, {})
@@ -145,16 +144,16 @@
         query = dict(parse_qsl(exchange.req.query))
         key, after = query.get("key", ""), int(query.get("after", "0"))
         if self._version(key) > after:
-            exchange.answer_json(200, self._current(key))
+            exchange.answer_json(200, self._make_reply(key))
             return
         until = time.monotonic() + float(query.get("wait", "30"))
         self._watchers.append(_Watcher(exchange, key, after, until))
 
-    def _wake(self, key):
+    def _notify_watchers(self, key):
         waiting, self._watchers = self._watchers, []
         for item in waiting:
             if item.key == key and self._version(key) > item.after:
-                item.exchange.answer_json(200, self._current(key))
+                item.exchange.answer_json(200, self._make_reply(key))
             else:
                 self._watchers.append(item)
 
@@ -168,31 +167,33 @@
         elif lease not in self._leases:
             exchange.answer_json(404, {})
             return
-        held = self._leases[lease]
-        held[0] = now + held[1]
-        exchange.answer_json(200, {"lease": lease, "ttl": held[1]})
+        entry = self._leases[lease]
+        entry[0] = now + entry[1]
+        exchange.answer_json(200, {"lease": lease, "ttl": entry[1]})
 
-    def _drop_lease(self, exchange, lease):
-        held = self._leases.pop(lease, None)
-        for key in held[2] if held else ():
+    def _end_lease(self, exchange, lease):
+        entry = self._leases.pop(lease, None)
+        for key in entry[2] if entry else ():
             self._values.pop(key, None)
         exchange.answer_json(200, {})
 
     @handler("tick", channel="*")
     def _on_tick(self):
         now = time.monotonic()
-        lapsed = [name for name, held in self._leases.items() if held[0] < now]
-        for name in lapsed:
+        expired_leases = [
+            name for name, entry in self._leases.items() if entry[0] < now
+        ]
+        for name in expired_leases:
             for key in self._leases.pop(name)[2]:
                 self._values.pop(key, None)
-        over = [item for item in self._watchers if item.until < now]
+        timed_out = [item for item in self._watchers if item.until < now]
         self._watchers = [item for item in self._watchers if item.until >= now]
-        for item in over:
+        for item in timed_out:
             item.exchange.answer(204)
 
 
-class _Job:
-    """One answer that the engine is writing."""
+class _Generation:
+    """State of one answer that the engine is generating."""
 
     def __init__(self, exchange, body):
         self.exchange = exchange
@@ -203,83 +204,99 @@
 
 
 class token_due(Event):
-    """It is time for the next token of each answer."""
+    """Trigger the next token of each answer."""
 
 
 class EngineServer(BaseComponent):
-    """Write a fixed text, one token an answer at a time."""
+    """Serve a model whose answers repeat a fixed text, one word per token."""
 
     channel = "embedded-engine"
 
     def __init__(self, cfg, poller):
         super().__init__()
-        handlers = WebHandlers(guard(self._requested), self._left)
+        handlers = WebHandlers(guard(self._handle_request), self._handle_disconnect)
         self._web = Web(cfg, poller, handlers, "embedded-engine-web").register(self)
-        self._jobs: deque[_Job] = deque()
-        Timer(TOKEN_TIME, token_due(), self.channel, persist=True).register(self)
+        self._generations: deque[_Generation] = deque()
+        Timer(TOKEN_INTERVAL, token_due(), self.channel, persist=True).register(self)
 
     def listen(self):
         """Start to serve and return the address."""
         return self._web.listen(LOOPBACK)
 
-    def _requested(self, exchange):
+    def _handle_request(self, exchange):
         req = exchange.req
         if (req.method, req.path) == ("POST", "/v1/completions"):
-            job = _Job(exchange, read_body(exchange))
-            exchange.start(200, EVENTS_TYPE, {"X-Attempt-Id": job.attempt})
-            self._jobs.append(job)
+            generation = _Generation(exchange, read_body(exchange))
+            exchange.start(200, EVENTS_TYPE, {"X-Attempt-Id": generation.attempt})
+            self._generations.append(generation)
         elif (req.method, req.path) == ("GET", "/v1/load"):
-            load = {"running": len(self._jobs), "waiting": 0, "slots": 8}
+            load = {"running": len(self._generations), "waiting": 0, "slots": 8}
             exchange.answer_json(200, load | {"cached_tokens": 0, "as_of": time.time()})
         elif (req.method, req.path) == ("POST", "/v1/cancel"):
             attempt = read_body(exchange).get("attempt")
-            self._jobs = deque(job for job in self._jobs if job.attempt != attempt)
+            self._generations = deque(
+                generation
+                for generation in self._generations
+                if generation.attempt != attempt
+            )
             exchange.answer_json(200, {})
         else:
             raise NotFound()
 
-    def _left(self, exchange):
-        self._jobs = deque(job for job in self._jobs if job.exchange is not exchange)
+    def _handle_disconnect(self, exchange):
+        self._generations = deque(
+            generation
+            for generation in self._generations
+            if generation.exchange is not exchange
+        )
 
     @handler("token_due")
     def _on_token_due(self):
-        for job in list(self._jobs):
-            if job.index >= job.limit:
-                self._finish(job)
+        for generation in list(self._generations):
+            if generation.index >= generation.limit:
+                self._finish(generation)
                 continue
-            token = WORDS[job.index % len(WORDS)] + " "
-            event = {"attempt": job.attempt, "index": job.index, "token": token}
-            job.index += 1
-            job.exchange.write(f"data: {json.dumps(event)}\n\n".encode())
-
-    def _finish(self, job):
-        self._jobs.remove(job)
+            token = SAMPLE_WORDS[generation.index % len(SAMPLE_WORDS)] + " "
+            event = {
+                "attempt": generation.attempt,
+                "index": generation.index,
+                "token": token,
+            }
+            generation.index += 1
+            generation.exchange.write(f"data: {json.dumps(event)}\n\n".encode())
+
+    def _finish(self, generation):
+        self._generations.remove(generation)
         usage = {
-            "prompt_tokens": job.prompt,
+            "prompt_tokens": generation.prompt,
             "cached_tokens": 0,
-            "completion_tokens": job.index - job.offset,
+            "completion_tokens": generation.index - generation.offset,
             "recomputed_tokens": 0,
         }
-        event = {"attempt": job.attempt, "usage": usage, "finish_reason": "length"}
+        event = {
+            "attempt": generation.attempt,
+            "usage": usage,
+            "finish_reason": "length",
+        }
         data = f"data: {json.dumps(event)}\n\ndata: [DONE]\n\n"
-        job.exchange.finish(data.encode())
+        generation.exchange.finish(data.encode())
 
 
 class ServiceServer(BaseComponent):
-    """Echo what a plain service is asked."""
+    """Serve a plain service that returns the method and path of each request."""
 
     channel = "embedded-service"
 
     def __init__(self, cfg, poller):
         super().__init__()
-        handlers = WebHandlers(guard(self._requested), lambda exchange: None)
+        handlers = WebHandlers(guard(self._handle_request), lambda exchange: None)
         self._web = Web(cfg, poller, handlers, "embedded-service-web").register(self)
 
     def listen(self):
         """Start to serve and return the address."""
         return self._web.listen(LOOPBACK)
 
-    def _requested(self, exchange):
+    def _handle_request(self, exchange):
         req = exchange.req
         if req.path == "/-/load":
             load = {"running": 0, "waiting": 0, "slots": 8, "as_of": time.time()}
@@ -289,7 +306,7 @@
 
 
 def make_document(cfg, engine, service):
-    """Return the document for one engine and one service, for callers without a key."""
+    """Return a configuration for one engine, one service and callers without a key."""
     centre = cfg.data_centre
     inventory = Inventory(
         pools=(Pool("demo-models", MODEL, ("demo",)), Pool("demo-services", SERVICE)),
--- a/src/chervilwing/forwards.py
+++ b/src/chervilwing/forwards.py
@@ -1,27 +1,27 @@
-"""One call to a plain service: its attempts and its answer to the caller."""
+"""Run one call to a plain service: its attempts and its answer to the caller."""
 
 from .connections import Call, CallHandlers, find_outcome
 from .exceptions import NOT_RUN, RAN, KeyExpired, Scope, UpstreamFailed
 from .work import BUSY, CANCELLED, FAILED, OK
 
-# Load: documents pulled all day. Harm: an answer is held whole until its end is known,
-# so that no caller gets a part; the limit bounds what one of them can hold.
+# Bytes of one answer. An answer is buffered until it has ended, so that no caller gets
+# a partial one; the limit bounds the memory of each call.
 ANSWER_LIMIT = 16 * 1024 * 1024
-PASSED_HEADERS = ("content-type", "accept", "idempotency-key")
-ANSWERED_HEADERS = ("content-type", "location", "etag", "cache-control", "retry-after")
+FORWARDED_HEADERS = ("content-type", "accept", "idempotency-key")
+RETURNED_HEADERS = ("content-type", "location", "etag", "cache-control", "retry-after")
 HTTP_BUSY = 503
 
 
 def pick_headers(headers, names):
-    """Return only the named headers."""
+    """Return the headers with these names, if present."""
     return {name: headers[name] for name in names if name in headers}
 
 
 class Forward:
     """State of one service call.
 
-    A call that may not be repeated goes out once, on a connection of its own, and is
-    never sent again after a byte of it left, unless the service proves it did not run.
+    A non-idempotent call is sent on a new connection. Once a byte has been sent it is
+    not retried, unless the service reports that it did not run.
     """
 
     def __init__(self, session, path):
@@ -30,27 +30,27 @@
         self._call = None
         self._upstream = None
         self._status = 0
-        self._fields = {}
+        self._headers = {}
         self._body = bytearray()
 
     @property
     def running(self):
-        """Tell whether an attempt is under way."""
+        """Return whether an attempt is running."""
         return self._call is not None and not self._call.over
 
     def start(self, upstream):
-        """Begin an attempt on this upstream."""
+        """Start an attempt on this upstream."""
         session = self.session
         if session.claimant is not None and not session.claimant.may_start(session):
             self._upstream = upstream
             self._report(CANCELLED)
-            session.refuse(KeyExpired("The claim ran out.", outcome=NOT_RUN))
+            session.refuse(KeyExpired("The claim expired.", outcome=NOT_RUN))
             return
         session.tries += 1
         self._upstream = upstream
         self._body.clear()
         req, cfg = session.exchange.req, session.cfg
-        headers = pick_headers(req.headers, PASSED_HEADERS)
+        headers = pick_headers(req.headers, FORWARDED_HEADERS)
         headers["X-Attempt-Id"] = f"{session.serial}.{session.tries}"
         headers["X-Request-Id"] = session.request_id
         call = Call(
@@ -72,10 +72,10 @@
         self._call = session.client.submit(call, handlers)
 
     def cancel(self):
-        """Stop the attempt; return False if it has to run on.
+        """Cancel the attempt; return False if it must not be cancelled.
 
-        A call with a claim that is under way runs on although its caller has gone: its
-        answer is recorded for the caller's next try.
+        An attempt with a claim runs to its end without its caller: its answer is stored
+        for the caller's next attempt.
         """
         if not self.running:
             return True
@@ -86,7 +86,7 @@
         return True
 
     def move(self, outcome):
-        """Begin an idempotent call again elsewhere."""
+        """Restart an idempotent call on another upstream."""
         if not self.running or not self.session.target.idempotent:
             return
         self.session.client.cancel(self._call)
@@ -94,7 +94,7 @@
 
     def _handle_headers(self, status, headers):
         self._status = status
-        self._fields = headers
+        self._headers = headers
 
     def _handle_data(self, data):
         self._body += data
@@ -105,21 +105,21 @@
             )
 
     def _handle_end(self):
-        if self._status == HTTP_BUSY and self._fields.get("x-not-run") == "1":
+        if self._status == HTTP_BUSY and self._headers.get("x-not-run") == "1":
             self._fail_attempt(BUSY, UpstreamFailed("Refused.", outcome=NOT_RUN))
             return
         self._report(OK)
         session = self.session
-        fields = pick_headers(self._fields, ANSWERED_HEADERS)
-        content_type = fields.pop("content-type", "application/octet-stream")
+        returned = pick_headers(self._headers, RETURNED_HEADERS)
+        content_type = returned.pop("content-type", "application/octet-stream")
         if session.claimant is not None:
             body = bytes(self._body)
             session.claimant.settle(session, self._status, content_type, body)
-        # HEAD tells the length of a body that isn't sent.
-        if session.exchange.req.method == "HEAD" and "content-length" in self._fields:
-            fields["Content-Length"] = self._fields["content-length"]
+        # A HEAD answer reports the length of the body that GET would return.
+        if session.exchange.req.method == "HEAD" and "content-length" in self._headers:
+            returned["Content-Length"] = self._headers["content-length"]
         session.exchange.answer(
-            self._status, bytes(self._body), content_type, session.headers | fields
+            self._status, bytes(self._body), content_type, session.headers | returned
         )
         session.close()
 
--- a/src/chervilwing/handoffs.py
+++ b/src/chervilwing/handoffs.py
@@ -1,7 +1,8 @@
-"""Hand the state of model requests from one entry instance to another.
+"""Hand over model requests from one entry instance to another.
 
-A state travels in parts, one at a time, each with its receipt: the sender knows when
-all of it was taken, and no more than one part a transfer waits in a peer's buffer.
+A request's state is sent in parts, each after the receipt for the one before. So the
+sender knows when the whole state was accepted, and a peer buffers at most one part per
+transfer.
 """
 
 from math import ceil
@@ -14,29 +15,30 @@
 from .ranking import rank
 from .wire import rebuild
 
-# A frame takes 64 KiB; the rest is for the part's other fields.
+# Bytes of state in a part. A frame holds 64 KiB; the rest is for the other fields.
 PART_BYTES = 48 * 1024
-# Load: long histories as prompts, handed over in a wave. Harm: one state that fills the
-# seconds of the notice for all; at 3 ms a part this one takes 0.13 s.
+# Bytes of a state. A larger one, such as a long history as prompt, could use up the few
+# seconds of notice that all states share. At 3 ms a part this much takes 0.13 s.
 STATE_LIMIT = 2 * 1024 * 1024
 MAX_PARTS = ceil(STATE_LIMIT / PART_BYTES)
-# Load: hundreds of requests handed over at once. Harm: a peer's buffer over its 4 MiB,
-# which drops the stream. 32 parts are 1.5 MiB.
-TRANSFERS_AT_ONCE = 32
-# Seconds for a receipt. Harm: a frozen peer takes the whole notice; with half a second
-# three peers are tried within the lead before the deadline.
-RECEIPT_WAIT = 0.5
-# Peers that a state is offered to, and peers that a reconnect asks. Load: thousands of
-# callers that reconnect after a data centre went. Harm: messages that grow with the
-# fleet. Eight reach all instances of today's sizes.
-OFFERS = 3
-QUESTIONS = 8
-# Seconds that a reconnect waits for a sign of its state.
-SEARCH_WAIT = 1.0
+# Transfers that send parts at a time. Hundreds of requests may be handed over at once,
+# but a peer closes the stream when its buffer exceeds 4 MiB. 32 parts are 1.5 MiB.
+MAX_TRANSFERS = 32
+# Seconds to wait for a receipt. A frozen peer must not use up the notice: with half a
+# second, three peers are tried before the deadline.
+RECEIPT_TIMEOUT = 0.5
+# Peers that a state is offered to, and peers that are asked for a caller's state. After
+# a data centre is lost, thousands of callers reconnect; the limit keeps the messages
+# for each from growing with the fleet. Eight reach every instance of the
+# deployment sizes in use.
+MAX_OFFERS = 3
+MAX_SEARCH_PEERS = 8
+# Seconds that a reconnect waits for a reply or a part of its state.
+SEARCH_TIMEOUT = 1.0
 
 
 class Key(NamedTuple):
-    """What a reconnect must match: nobody else's answer, and the same request."""
+    """Identifies a request; a reconnect must match customer, id and content."""
 
     customer: str
     request_id: str
@@ -47,7 +49,7 @@
 
 
 class State(NamedTuple):
-    """One model request as another instance can go on with it."""
+    """State of one model request with which another instance can continue it."""
 
     key: Key
     model: str
@@ -63,12 +65,12 @@
     complete: bool = False
     finish_reason: str | None = None
     prompt_tokens: int = 0
-    # The engine that keeps the KV cache, where one does.
+    # The engine that stores the KV cache, or empty.
     upstream: str = ""
 
 
 class Part(NamedTuple):
-    """A piece of a state on its way."""
+    """One part of a state; ``number`` counts from 0."""
 
     transfer: str
     number: int
@@ -77,7 +79,7 @@
 
 
 class Receipt(NamedTuple):
-    """The part was taken, or the whole state is refused."""
+    """Accept one part, or reject the whole state."""
 
     transfer: str
     number: int
@@ -85,46 +87,46 @@
 
 
 class Seek(NamedTuple):
-    """Ask for a state; its holder sends it as the transfer ``search``."""
+    """Request a state; its holder sends it as a transfer with the id ``search``."""
 
     search: str
     key: Key
 
 
 class Unheld(NamedTuple):
-    """The asked instance doesn't hold the state."""
+    """Reply to Seek: this instance doesn't have the state."""
 
     search: str
 
 
 class Moved(NamedTuple):
-    """The asked instance has given the state to this peer."""
+    """Reply to Seek: this instance has handed the state over to ``peer``."""
 
     search: str
     peer: str
 
 
 class Recall(NamedTuple):
-    """Another peer goes on with what this transfer brought; drop it."""
+    """Ask a peer to drop the state of a transfer, as another peer continues it."""
 
     transfer: str
 
 
 class Delivered(NamedTuple):
-    """The peer has taken the whole state."""
+    """The peer has accepted the whole state."""
 
     transfer: str
     peer: str
 
 
 class Undelivered(NamedTuple):
-    """No peer has taken the state."""
+    """No peer has accepted the state."""
 
     transfer: str
 
 
 class Received(NamedTuple):
-    """A whole state has come; ``accept`` or ``reject`` it."""
+    """All parts of a state have arrived; the sender awaits the last receipt."""
 
     sender: str
     transfer: str
@@ -133,13 +135,13 @@
 
 
 class NotFound(NamedTuple):
-    """No peer holds what the search was for."""
+    """No peer has the state that the search was for."""
 
     search: str
 
 
 def pack_state(state):
-    """Return the parts' data of a state, or None when it is over the limit."""
+    """Return a state as the data of its parts, or None if it is over the limit."""
     data = msgpack.packb(state)
     if len(data) > STATE_LIMIT:
         return None
@@ -147,38 +149,39 @@
 
 
 def unpack_state(parts):
-    """Return the state in the parts' data, or raise BadFrame."""
+    """Return the state that the data of its parts contains, or raise BadFrame."""
     try:
         value = msgpack.unpackb(b"".join(parts))
-    except Exception as exc:  # Guard: msgpack raises many types; see frames.decode.
-        raise BadFrame("A state is no msgpack.") from exc
+    except Exception as exc:  # msgpack raises many types.
+        raise BadFrame("A state is not valid msgpack.") from exc
     return rebuild(State, value)
 
 
-def choose_takers(key, live, centre):
-    """Return who is offered a state: other data centres' live instances first.
+def choose_recipients(key, live, data_centre):
+    """Return the peers to offer a state to, those of other data centres first.
 
-    A data centre is reclaimed as a whole, so that a neighbour's turn is near.
+    A data centre is reclaimed as a whole, so its other instances will soon leave too.
     """
     ranked = rank(str(key), live)
-    ranked.sort(key=lambda name: live[name] == centre)
-    return tuple(ranked[:OFFERS])
+    ranked.sort(key=lambda name: live[name] == data_centre)
+    return tuple(ranked[:MAX_OFFERS])
 
 
-def choose_asked(key, live, leaving):
-    """Return who is asked for a state, the likeliest first.
+def choose_search_peers(key, live, leaving):
+    """Return the peers to ask for a state, the most likely holder first.
 
-    A holder was the first of the key's order outside a data centre that isn't known
-    here: it is the first of all, or the first outside that one's data centre.
+    The state was offered first to the key's highest ranked peer outside the sender's
+    data centre, which is unknown here. That peer is the highest ranked of all, or the
+    highest ranked outside the first one's data centre.
     """
     ranked = rank(str(key), live)
     outside = [name for name in ranked if live[name] != live[ranked[0]]]
     order = dict.fromkeys([*ranked[:1], *outside[:1], *leaving, *ranked])
-    return tuple(order)[:QUESTIONS]
+    return tuple(order)[:MAX_SEARCH_PEERS]
 
 
 class _Transfer:
-    """State of one transfer."""
+    """State of one transfer to a peer."""
 
     def __init__(self, parts, peers):
         self.parts = parts
@@ -189,177 +192,177 @@
 
 
 class Outbox:
-    """States on their way to peers."""
+    """Send states to peers."""
 
     def __init__(self):
         self._waiting = {}
-        self._moving = {}
+        self._active = {}
 
     def begin(self, transfer, parts, peers, now):
-        """Offer a state to these peers, one after the other."""
+        """Queue a state to be offered to these peers in turn; return actions."""
         self._waiting[transfer] = _Transfer(parts, peers)
-        return self._fill(now)
+        return self._fill_slots(now)
 
     def receive(self, sender, receipt, now):
-        """Take the answer to a part."""
-        moving = self._moving.get(receipt.transfer)
-        if moving is None or moving.peer != sender:
-            late = Forward(sender, Recall(receipt.transfer))
-            return [late] if receipt.taken else []
-        if moving.number != receipt.number:
+        """Handle a receipt; return actions."""
+        active = self._active.get(receipt.transfer)
+        if active is None or active.peer != sender:
+            recall = Forward(sender, Recall(receipt.transfer))
+            return [recall] if receipt.taken else []
+        if active.number != receipt.number:
             return []
         if not receipt.taken:
-            return self._offer(receipt.transfer, moving, now) + self._fill(now)
-        moving.number += 1
-        if moving.number < len(moving.parts):
-            return [self._send(receipt.transfer, moving, now)]
-        del self._moving[receipt.transfer]
-        return [Delivered(receipt.transfer, sender), *self._fill(now)]
+            return self._offer(receipt.transfer, active, now) + self._fill_slots(now)
+        active.number += 1
+        if active.number < len(active.parts):
+            return [self._send(receipt.transfer, active, now)]
+        del self._active[receipt.transfer]
+        return [Delivered(receipt.transfer, sender), *self._fill_slots(now)]
 
     def tick(self, now):
-        """Offer what got no receipt to the next peer."""
+        """Offer states without a receipt to the next peer; return actions."""
         actions = []
-        for transfer, moving in list(self._moving.items()):
-            if now > moving.due:
-                actions += self._offer(transfer, moving, now)
-        return actions + self._fill(now)
+        for transfer, active in list(self._active.items()):
+            if now > active.due:
+                actions += self._offer(transfer, active, now)
+        return actions + self._fill_slots(now)
 
     def count(self):
-        """Return how many states are on their way."""
-        return len(self._waiting) + len(self._moving)
+        """Return the number of states that are queued or being sent."""
+        return len(self._waiting) + len(self._active)
 
-    def _fill(self, now):
+    def _fill_slots(self, now):
         actions = []
-        while self._waiting and len(self._moving) < TRANSFERS_AT_ONCE:
+        while self._waiting and len(self._active) < MAX_TRANSFERS:
             transfer = next(iter(self._waiting))
-            moving = self._moving[transfer] = self._waiting.pop(transfer)
-            actions += self._offer(transfer, moving, now)
+            active = self._active[transfer] = self._waiting.pop(transfer)
+            actions += self._offer(transfer, active, now)
         return actions
 
-    def _offer(self, transfer, moving, now):
-        if not moving.peers:
-            del self._moving[transfer]
+    def _offer(self, transfer, active, now):
+        if not active.peers:
+            del self._active[transfer]
             return [Undelivered(transfer)]
-        moving.peer, moving.number = moving.peers.pop(0), 0
-        return [self._send(transfer, moving, now)]
+        active.peer, active.number = active.peers.pop(0), 0
+        return [self._send(transfer, active, now)]
 
-    def _send(self, transfer, moving, now):
-        moving.due = now + RECEIPT_WAIT
-        data = moving.parts[moving.number]
-        part = Part(transfer, moving.number, len(moving.parts), data)
-        return Forward(moving.peer, part)
+    def _send(self, transfer, active, now):
+        active.due = now + RECEIPT_TIMEOUT
+        data = active.parts[active.number]
+        part = Part(transfer, active.number, len(active.parts), data)
+        return Forward(active.peer, part)
 
 
-class _Arrival:
-    """State of one transfer that comes in."""
+class _IncomingTransfer:
+    """State of one transfer from a peer."""
 
     def __init__(self):
         self.parts = []
-        self.heard = 0.0
+        self.received_at = 0.0
 
 
 class Inbox:
-    """Parts of states that come from peers, ``limit`` bytes of them at most."""
+    """Collect the parts of states from peers, at most ``limit`` bytes in all."""
 
     def __init__(self, limit):
         self._limit = limit
-        self._arrivals = {}
+        self._incoming = {}
         self.size = 0
 
     def receive(self, sender, part, now):
-        """Take a part; raise BadFrame on nonsense."""
+        """Handle a part and return actions; raise BadFrame on an invalid state."""
         name = (sender, part.transfer)
-        # Only the sender starts again, after a receipt that came too late.
+        # Part 0 restarts a transfer: the sender has missed a receipt.
         if part.number == 0:
             self._drop(name)
-            self._arrivals[name] = _Arrival()
-        arrival = self._arrivals.get(name)
-        misplaced = arrival is None or part.number != len(arrival.parts)
+            self._incoming[name] = _IncomingTransfer()
+        incoming = self._incoming.get(name)
+        misplaced = incoming is None or part.number != len(incoming.parts)
         full = part.count > MAX_PARTS or self.size + len(part.data) > self._limit
         if misplaced or full:
             self._drop(name)
             return [Forward(sender, Receipt(part.transfer, part.number, False))]
-        arrival.parts.append(part.data)
-        arrival.heard = now
+        incoming.parts.append(part.data)
+        incoming.received_at = now
         self.size += len(part.data)
         if part.number + 1 < part.count:
             return [Forward(sender, Receipt(part.transfer, part.number, True))]
-        parts = arrival.parts
+        parts = incoming.parts
         self._drop(name)
         state = unpack_state(parts)
         return [Received(sender, part.transfer, part.number, state)]
 
     def tick(self, now):
-        """Drop what its sender has given up: an instance died in the middle."""
-        for name, arrival in list(self._arrivals.items()):
-            if now - arrival.heard > 2 * RECEIPT_WAIT:
+        """Drop unfinished transfers whose senders have stopped, as after a crash."""
+        for name, incoming in list(self._incoming.items()):
+            if now - incoming.received_at > 2 * RECEIPT_TIMEOUT:
                 self._drop(name)
         return []
 
     def _drop(self, name):
-        arrival = self._arrivals.pop(name, None)
-        if arrival is not None:
-            self.size -= sum(map(len, arrival.parts))
+        incoming = self._incoming.pop(name, None)
+        if incoming is not None:
+            self.size -= sum(map(len, incoming.parts))
 
 
 class _Search:
     """State of one search."""
 
-    def __init__(self, key, asked, due):
+    def __init__(self, key, peers, due):
         self.key = key
-        # Those that have not answered yet, and those that others have named.
-        self.asked = set(asked)
-        self.told = set()
+        # Peers whose replies are pending, and peers that Moved replies named.
+        self.pending = set(peers)
+        self.redirected = set()
         self.due = due
 
 
 class Searches:
-    """Reconnects that wait for their state."""
+    """Search the peers for the states of reconnecting callers."""
 
     def __init__(self):
         self._searches = {}
 
-    def begin(self, search, key, asked, now):
-        """Ask the peers."""
-        self._searches[search] = _Search(key, asked, now + SEARCH_WAIT)
-        if not asked:
+    def begin(self, search, key, peers, now):
+        """Start a search at these peers; return actions."""
+        self._searches[search] = _Search(key, peers, now + SEARCH_TIMEOUT)
+        if not peers:
             return self._end(search)
-        return [Forward(name, Seek(search, key)) for name in asked]
+        return [Forward(name, Seek(search, key)) for name in peers]
 
     def receive(self, sender, message, now):
-        """Take note that a peer doesn't hold the state."""
+        """Handle a peer's reply that it doesn't have the state; return actions."""
         search = self._searches.get(message.search)
         if search is None:
             return []
-        search.asked.discard(sender)
-        return [] if search.asked else self._end(message.search)
+        search.pending.discard(sender)
+        return [] if search.pending else self._end(message.search)
 
     def redirect(self, sender, message, now):
-        """Ask the peer that the state has moved to."""
+        """Ask the peer to which the state was handed over; return actions."""
         search = self._searches.get(message.search)
         if search is None:
             return []
-        search.asked.discard(sender)
-        if message.peer in search.told:
-            return [] if search.asked else self._end(message.search)
-        search.told.add(message.peer)
-        search.asked.add(message.peer)
-        search.due = now + SEARCH_WAIT
+        search.pending.discard(sender)
+        if message.peer in search.redirected:
+            return [] if search.pending else self._end(message.search)
+        search.redirected.add(message.peer)
+        search.pending.add(message.peer)
+        search.due = now + SEARCH_TIMEOUT
         return [Forward(message.peer, Seek(message.search, search.key))]
 
-    def prolong(self, name, now):
-        """Go on waiting: parts of the state are coming."""
+    def extend(self, name, now):
+        """Extend a search's deadline, as parts of its state are arriving."""
         if name in self._searches:
-            self._searches[name].due = now + SEARCH_WAIT
+            self._searches[name].due = now + SEARCH_TIMEOUT
 
-    def find(self, name):
-        """End a search whose state has come."""
+    def finish(self, name):
+        """End a search whose state has arrived."""
         self._searches.pop(name, None)
 
     def tick(self, now):
-        """End what waited too long: an asked peer is dead or cut off."""
-        late = [name for name, item in self._searches.items() if now > item.due]
-        return [action for name in late for action in self._end(name)]
+        """End the searches past their deadline; return actions."""
+        expired = [name for name, item in self._searches.items() if now > item.due]
+        return [action for name in expired for action in self._end(name)]
 
     def _end(self, name):
         del self._searches[name]
--- a/src/chervilwing/held.py
+++ b/src/chervilwing/held.py
@@ -1,8 +1,8 @@
-"""Requests that their callers may ask for again, within bounds of time and bytes."""
+"""Keep requests for callers that may reconnect, limited in time and bytes."""
 
 
-class Detached:
-    """Take the place of an exchange whose caller has gone: it writes to nobody."""
+class NullExchange:
+    """Stand in for the exchange of a caller that has disconnected."""
 
     started = gone = finished = congested = False
     on_drain = tag = None
@@ -26,30 +26,31 @@
         """Do nothing."""
 
 
-class Held:
-    """State of one request that its caller may ask for again.
+class HeldRequest:
+    """State of one request whose caller may reconnect.
 
-    Without a caller it is kept ``until`` then. ``read`` tells whether a caller got the
-    answer, as far as can be known. ``transfer`` names how it came from a peer.
+    ``expires_at`` is in seconds of the monotonic clock, None while a caller is
+    connected. ``delivered`` is false while the caller may lack part of the answer.
+    ``transfer`` is the id of the transfer that brought the request, if any.
     """
 
-    __slots__ = ("session", "until", "size", "read", "transfer")
+    __slots__ = ("session", "expires_at", "size", "delivered", "transfer")
 
-    def __init__(self, session, until, size, transfer):
+    def __init__(self, session, expires_at, size, transfer):
         self.session = session
-        self.until = until
+        self.expires_at = expires_at
         self.size = size
-        self.read = until is None
+        self.delivered = expires_at is None
         self.transfer = transfer
 
 
-def measure(session):
-    """Return about how many bytes an answer takes while it is held."""
+def estimate_size(session):
+    """Return the approximate bytes that a request takes while it is held."""
     return len(session.run.completion.prompt) + len(session.run.answer.text)
 
 
-class HeldAnswers:
-    """What is held, by key, the oldest first."""
+class HeldRequests:
+    """Hold requests by key, in the order in which they came."""
 
     def __init__(self, limit):
         self._limit = limit
@@ -57,42 +58,43 @@
         self.size = 0
 
     def get(self, key):
-        """Return what is held for a key, or None."""
+        """Return the held request with a key, or None."""
         return self._held.get(key)
 
     def find(self, session):
-        """Return what is held of this very request, or None."""
+        """Return the held request of a session, or None."""
         held = self._held.get(session.key)
         return held if held is not None and held.session is session else None
 
     def list(self):
-        """Return all that is held."""
+        """Return all held requests, the oldest first."""
         return list(self._held.values())
 
-    def put(self, session, until=None, size=0, transfer=""):
-        """Hold a request; ``size`` is counted against the limit."""
+    def put(self, session, expires_at=None, size=0, transfer=""):
+        """Hold a request; ``size`` bytes count towards the limit."""
         self.drop(session.key)
-        self._held[session.key] = Held(session, until, size, transfer)
+        self._held[session.key] = HeldRequest(session, expires_at, size, transfer)
         self.size += size
 
     def drop(self, key):
-        """Hold it no longer."""
+        """Remove the request with a key, if it is held."""
         held = self._held.pop(key, None)
         if held is not None:
             self.size -= held.size
 
-    def finish(self, held, until):
-        """Keep a whole answer for a while."""
-        size = measure(held.session)
+    def finish(self, held, expires_at):
+        """Keep a complete answer until ``expires_at``."""
+        size = estimate_size(held.session)
         self.size += size - held.size
-        held.until, held.size = until, size
+        held.expires_at, held.size = expires_at, size
         self.make_room(0)
 
     def make_room(self, size):
-        """Forget the oldest whole answers; tell whether so many bytes fit now.
+        """Drop the oldest complete answers; return whether ``size`` bytes fit now.
 
-        Load: long answers to callers that name all of them. Harm: memory for control
-        is 128 MB a node (letter 1). What still runs has no other copy and stays.
+        Callers may send an id with every request and get long answers, while the
+        control plane may use 128 MB of memory per node. Running requests have no other
+        copy and are kept.
         """
         for held in self.list():
             if self.size + size <= self._limit:
@@ -101,12 +103,12 @@
                 self.drop(held.session.key)
         return self.size + size <= self._limit
 
-    def list_late(self, now):
-        """Return what no caller has come back for in time."""
+    def list_expired(self, now):
+        """Return the requests whose callers have not reconnected in time."""
         return [
             held
             for held in self._held.values()
-            if held.until is not None
-            and now > held.until
+            if held.expires_at is not None
+            and now > held.expires_at
             and not held.session.handing_over
         ]
--- a/src/chervilwing/loads.py
+++ b/src/chervilwing/loads.py
@@ -1,4 +1,4 @@
-"""Ask upstreams for their load, at a rate that doesn't grow with their number."""
+"""Poll the load of upstreams at a rate that is independent of their number."""
 
 import time
 from functools import partial
@@ -9,16 +9,16 @@
 from .models import MODEL
 from .stores import collect_json
 
-# Load: every entry instance wants every upstream's load. Harm: 320 nodes that ask 660
-# workers once a second are 211,000 calls a second. Each instance asks at most this many
-# upstreams a second in turn; what it has in flight itself is known without asking.
+# Upstreams that an instance polls per second, in turn. If 320 nodes polled 660 workers
+# once a second each, that would be 211,000 calls a second. An instance counts its own
+# requests in flight without polling.
 CALLS_PER_SECOND = 4
 LOAD_PATHS = {MODEL: "/v1/load"}
 SERVICE_LOAD_PATH = "/-/load"
 
 
 def read_models(value):
-    """Return the models that a load report names, or None when it names none."""
+    """Return the models in a load report, or None if it has no such list."""
     models = value.get("models")
     if not isinstance(models, list):
         return None
@@ -26,7 +26,7 @@
 
 
 class LoadPoller(BaseComponent):
-    """Poll upstreams in turn and tell the scheduler."""
+    """Poll upstreams in turn and report their load to the scheduler."""
 
     channel = "loads"
 
@@ -35,37 +35,38 @@
         self._cfg = cfg
         self._client = client
         self._dispatch = dispatcher
-        self._due = 0.0
-        self._turn = 0
+        self._next_poll = 0.0
+        self._position = 0
 
     @handler("tick", channel="*")
     def _on_tick(self):
         now = time.monotonic()
         directory = self._dispatch.directory
-        if now < self._due or directory is None or not directory.upstreams:
+        if now < self._next_poll or directory is None or not directory.upstreams:
             return
-        self._due = now + 1.0 / CALLS_PER_SECOND
+        self._next_poll = now + 1.0 / CALLS_PER_SECOND
         names = sorted(directory.upstreams)
-        self._turn = (self._turn + 1) % len(names)
-        self._ask(directory.upstreams[names[self._turn]])
+        self._position = (self._position + 1) % len(names)
+        self._poll(directory.upstreams[names[self._position]])
 
-    def _ask(self, upstream):
+    def _poll(self, upstream):
         path = LOAD_PATHS.get(upstream.kind, SERVICE_LOAD_PATH)
-        wait = self._cfg.connect_timeout
-        call = Call(upstream.address, "GET", path, {}, b"", wait, wait)
-        hear = partial(self._hear, upstream.name)
-        # Guard: an upstream that has just answered on a new connection isn't down; a
-        # pool of one would refuse the very requests that wait to go on there.
-        self._client.submit(call, collect_json(hear, path_lost=lambda: None))
+        timeout = self._cfg.connect_timeout
+        call = Call(upstream.address, "GET", path, {}, b"", timeout, timeout)
+        handle = partial(self._handle_load, upstream.name)
+        # A broken connection doesn't mark the upstream as down: it may just have
+        # answered on a new one, and a pool with one upstream would refuse all waiting
+        # requests.
+        self._client.submit(call, collect_json(handle, path_lost=lambda: None))
 
-    def _hear(self, name, status, value):
+    def _handle_load(self, name, status, value):
         scheduler = self._dispatch.scheduler
         now = time.monotonic()
         if status != 200:
             scheduler.mark_down(name, now)
             return
         try:
-            # ``as_of`` is on the upstream's clock; only its age is of use here.
+            # ``as_of`` is in Unix seconds of the upstream's clock.
             age = max(0.0, time.time() - float(value["as_of"]))
             load = [int(value[key]) for key in ("running", "waiting", "slots")]
         except (KeyError, TypeError, ValueError):
--- a/src/chervilwing/operators.py
+++ b/src/chervilwing/operators.py
@@ -1,4 +1,4 @@
-"""Who may read an instance's figures and stop it: operators, by a key of their own."""
+"""Check the operators' key, which protects metrics, status and planned stops."""
 
 import hmac
 from ipaddress import ip_address
@@ -9,20 +9,22 @@
 
 
 def check_key(key_hash, headers):
-    """Raise WrongOperatorKey unless the request gives the operators' key."""
+    """Raise WrongOperatorKey if a key is set and the request doesn't have it."""
     if not key_hash:
         return
     given = hash_key(read_bearer(headers))
-    # In constant time, though only digests are compared: it costs nothing.
+    # Compare in constant time, though these are only digests: it costs nothing.
     if not hmac.compare_digest(given, key_hash):
         raise WrongOperatorKey("The operators' key is needed.")
 
 
 def check_stop(key_hash, headers, host):
-    """Raise unless a stop is asked for with the key, or without one from here.
+    """Raise WrongOperatorKey or NotAllowed unless the sender may stop the instance.
 
-    Guard: the paths stand on the callers' port. Whoever could reach it would stop one
-    instance after the other, which shows as planned stops that nobody planned.
+    The sender needs the operators' key, or, if none is set, a loopback address.
+
+    Callers use the same port. Without this check any of them could stop one instance
+    after the other.
     """
     check_key(key_hash, headers)
     if not key_hash and not ip_address(host).is_loopback:
--- a/src/chervilwing/reconnects.py
+++ b/src/chervilwing/reconnects.py
@@ -1,7 +1,7 @@
-"""Callers that lost their connection, and requests that change their entry instance.
+"""Serve callers that reconnect, and hand over requests to other entry instances.
 
-A request is held under its customer, its request id and a fingerprint of its content.
-A reconnect that matches all three is given the same answer from where it broke off.
+A request is held under its customer, its request id and a fingerprint of its content. A
+reconnect that matches all three gets the rest of the same answer.
 """
 
 import itertools
@@ -35,31 +35,32 @@
     Undelivered,
     Unheld,
 )
-from .held import Detached, HeldAnswers
+from .held import HeldRequests, NullExchange
 from .logs import log_event
 from .messages import Forward
 
-EXPIRE_EVERY = 0.25
+# Seconds between two checks for expired requests.
+EXPIRY_INTERVAL = 0.25
 
 
-class _Waiting:
-    """State of a reconnect whose answer is looked for at the peers."""
+class _PendingReconnect:
+    """State of a reconnect while its request is searched for at the peers."""
 
-    def __init__(self, exchange, key, last, begin):
+    def __init__(self, exchange, key, last_index, begin):
         self.exchange = exchange
         self.key = key
-        self.last = last
-        # Runs the request as a new one.
+        self.last_index = last_index
+        # Starts the request as a new one.
         self.begin = begin
         self.gone = False
 
     def leave(self):
-        """Note that the caller has gone again."""
+        """Record that the caller has disconnected again."""
         self.gone = True
 
 
 class Reconnects(BaseComponent):
-    """Hold what callers may come back for, and hand it to peers."""
+    """Hold requests for reconnecting callers and hand them over to peers."""
 
     channel = "reconnects"
 
@@ -68,35 +69,36 @@
         self._cfg = cfg
         self._dispatch = dispatcher
         self._peers = peers
-        self._held = HeldAnswers(cfg.reconnect_bytes)
-        self._live = {}
-        self._parting = ()
-        self._ask_until = 0.0
-        self._expire_due = 0.0
-        self._serials = itertools.count()
+        self._held = HeldRequests(cfg.reconnect_bytes)
+        self._live_peers = {}
+        self._leaving_peers = ()
+        self._search_until = 0.0
+        self._next_expiry = 0.0
+        self._transfer_numbers = itertools.count()
         self._outbox = Outbox()
         self._inbox = Inbox(cfg.reconnect_bytes)
         self._searches = Searches()
-        self._waiting = {}
-        self._moving = {}
-        self._tried = set()
-        self._moved = {}
-        self._later = {}
-        peers.subscribe(tuple(HEARERS), self._hear)
+        self._pending = {}
+        self._handing_over = {}
+        self._offered = set()
+        self._handed_over = {}
+        self._deferred_seeks = {}
+        peers.subscribe(tuple(MESSAGE_HANDLERS), self._handle_message)
 
     def enlist(self, records):
-        """Take the entry instances that are known."""
+        """Update the member records of the entry instances."""
         others = [record for record in records if record.name != self._cfg.name]
         live = {item.name: item.data_centre for item in others if item.state == LIVE}
-        parting = tuple(item.name for item in others if item.state == LEAVING)
-        # After an instance left or was lost, callers come that say nothing of having
-        # been elsewhere: an answer that comes at once has no events to name.
-        if set(self._live) - set(live) or set(parting) - set(self._parting):
-            self._ask_until = time.monotonic() + self._cfg.reconnect_keep
-        self._live, self._parting = live, parting
+        leaving = tuple(item.name for item in others if item.state == LEAVING)
+        # When an instance has left or was lost, its callers may reconnect without
+        # naming an event: answers that aren't streamed have no events. So for a while,
+        # requests that look new are searched for at the peers.
+        if set(self._live_peers) - set(live) or set(leaving) - set(self._leaving_peers):
+            self._search_until = time.monotonic() + self._cfg.reconnect_keep
+        self._live_peers, self._leaving_peers = live, leaving
 
     def admit(self, session):
-        """Hold a request whose caller can name it again."""
+        """Hold a request whose caller chose its id and so can reconnect."""
         self._held.put(session)
 
     def resume(self, exchange, key, begin):
@@ -104,34 +106,35 @@
 
         ``begin`` runs the request from the start.
         """
-        last = read_last_event(exchange.req.headers, key.request_id)
+        last_index = read_last_event(exchange.req.headers, key.request_id)
         held = self._held.get(key)
         if held is not None:
-            self._attach(held, exchange, last)
+            self._attach(held, exchange, last_index)
             return True
-        # An instance that is stopping would only have to hand it over again.
-        moved = key in self._moved
-        if self._dispatch.draining and (moved or last is not None):
+        # An instance that is stopping would have to hand the request over again.
+        moved = key in self._handed_over
+        if self._dispatch.draining and (moved or last_index is not None):
             raise HandedOver(retry_after=1.0)
-        # Load: callers that name all their requests. Harm: questions to peers for each.
-        # Only a reconnect, or a time when others have left, makes one worth asking.
-        if last is None and not moved and time.monotonic() > self._ask_until:
+        # Callers may send an id with every request; searching the peers for each would
+        # flood them. Search only for a reconnect, or shortly after an instance has
+        # left.
+        if last_index is None and not moved and time.monotonic() > self._search_until:
             return False
-        self._ask(_Waiting(exchange, key, last, begin))
+        self._start_search(_PendingReconnect(exchange, key, last_index, begin))
         return True
 
     def detach(self, session):
-        """Let a request run on for a while without its caller; False if it may not."""
+        """Keep a request running for a while without its caller; False if not held."""
         held = self._held.find(session)
         if held is None:
             return False
-        session.attach(Detached())
-        held.until = time.monotonic() + self._cfg.reconnect_grace
-        held.read = False
+        session.attach(NullExchange())
+        held.expires_at = time.monotonic() + self._cfg.reconnect_grace
+        held.delivered = False
         return True
 
     def end(self, session):
-        """Keep a whole answer for a while; forget a request that failed."""
+        """Keep a complete answer for a while; drop a request that failed."""
         held = self._held.find(session)
         if held is None:
             return
@@ -141,140 +144,144 @@
         self._held.finish(held, time.monotonic() + self._cfg.reconnect_keep)
 
     def hand_over(self):
-        """Give each model request that its caller can name to a peer, once."""
+        """Offer each request that its caller can reconnect to, once, to peers."""
         sessions = [s for s in self._dispatch.sessions.values() if s.can_hand_over]
-        unread = [held.session for held in self._held.list() if not held.read]
+        unread = [held.session for held in self._held.list() if not held.delivered]
         for session in dict.fromkeys(sessions + unread):
-            if session.serial not in self._tried:
-                self._tried.add(session.serial)
+            if session.serial not in self._offered:
+                self._offered.add(session.serial)
                 self._offer(session)
 
     def _offer(self, session):
-        centre = self._cfg.data_centre
-        takers = handoffs.choose_takers(session.key, self._live, centre)
-        if takers:
-            self._send_state(session, self._name_transfer(), takers)
+        data_centre = self._cfg.data_centre
+        recipients = handoffs.choose_recipients(
+            session.key, self._live_peers, data_centre
+        )
+        if recipients:
+            self._send_state(session, self._make_transfer_id(), recipients)
 
     @property
     def busy(self):
-        """Tell whether a state is on its way to a peer."""
-        return bool(self._moving)
+        """Return whether a request is being handed over."""
+        return bool(self._handing_over)
 
     @handler("tick", channel="*")
     def _on_tick(self):
         now = time.monotonic()
-        for core in (self._outbox, self._inbox, self._searches):
-            self._apply(core.tick(now))
-        if now >= self._expire_due:
-            self._expire_due = now + EXPIRE_EVERY
+        for component in (self._outbox, self._inbox, self._searches):
+            self._apply(component.tick(now))
+        if now >= self._next_expiry:
+            self._next_expiry = now + EXPIRY_INTERVAL
             self._expire(now)
 
-    def _name_transfer(self):
-        return f"{self._cfg.name}-{next(self._serials)}"
+    def _make_transfer_id(self):
+        return f"{self._cfg.name}-{next(self._transfer_numbers)}"
 
     def _expire(self, now):
-        for held in self._held.list_late(now):
+        for held in self._held.list_expired(now):
             self._held.drop(held.session.key)
             held.session.abandon()
-        for key, (_, until) in list(self._moved.items()):
-            if now > until:
-                del self._moved[key]
+        for key, (_, expires_at) in list(self._handed_over.items()):
+            if now > expires_at:
+                del self._handed_over[key]
 
-    def _attach(self, held, exchange, last):
+    def _attach(self, held, exchange, last_index):
         session = held.session
-        after = -1 if last is None else last
+        after = -1 if last_index is None else last_index
         if session.stream and after >= session.run.answer.offset:
             raise AnswerLost()
-        held.read = True
+        held.delivered = True
         if not session.closed:
-            held.until = None
+            held.expires_at = None
         session.attach(exchange)
         session.run.replay(after)
         log_event("caller reconnected", request=session.request_id, after=after)
 
-    def _ask(self, waiting):
-        search = self._name_transfer()
-        waiting.exchange.tag = waiting
-        self._waiting[search] = waiting
-        peer, _ = self._moved.get(waiting.key, ("", 0.0))
-        first = (peer, *self._parting) if peer else self._parting
-        asked = handoffs.choose_asked(waiting.key, self._live, first)
+    def _start_search(self, pending):
+        search = self._make_transfer_id()
+        pending.exchange.tag = pending
+        self._pending[search] = pending
+        peer, _ = self._handed_over.get(pending.key, ("", 0.0))
+        first = (peer, *self._leaving_peers) if peer else self._leaving_peers
+        candidates = handoffs.choose_search_peers(pending.key, self._live_peers, first)
         now = time.monotonic()
-        self._apply(self._searches.begin(search, waiting.key, asked, now))
+        self._apply(self._searches.begin(search, pending.key, candidates, now))
 
-    def _resolve(self, search):
-        """Answer a reconnect after its search."""
-        waiting = self._waiting.pop(search)
-        if waiting.gone:
+    def _finish_search(self, search):
+        """Serve a reconnect after its search."""
+        pending = self._pending.pop(search)
+        if pending.gone:
             return
-        waiting.exchange.tag = None
-        self._dispatch.serve(lambda exchange: self._start(waiting), waiting.exchange)
+        pending.exchange.tag = None
+        self._dispatch.serve(
+            lambda exchange: self._serve_pending(pending), pending.exchange
+        )
 
-    def _start(self, waiting):
-        held = self._held.get(waiting.key)
+    def _serve_pending(self, pending):
+        held = self._held.get(pending.key)
         if held is not None:
-            self._attach(held, waiting.exchange, waiting.last)
-        elif waiting.last is not None and waiting.last >= 0:
-            # A new answer may read differently: joined to what the caller has read, it
-            # would be a mixture.
+            self._attach(held, pending.exchange, pending.last_index)
+        elif pending.last_index is not None and pending.last_index >= 0:
+            # A new answer may have other tokens, so it can't continue the part that the
+            # caller has read.
             raise AnswerLost()
         else:
-            waiting.begin()
+            pending.begin()
 
-    def _hear(self, sender, message):
-        HEARERS[type(message)](self, sender, message)
+    def _handle_message(self, sender, message):
+        MESSAGE_HANDLERS[type(message)](self, sender, message)
 
-    def _hear_part(self, sender, part):
+    def _handle_part(self, sender, part):
         now = time.monotonic()
-        self._searches.prolong(part.transfer, now)
+        self._searches.extend(part.transfer, now)
         self._apply(self._inbox.receive(sender, part, now))
 
-    def _hear_receipt(self, sender, receipt):
+    def _handle_receipt(self, sender, receipt):
         self._apply(self._outbox.receive(sender, receipt, time.monotonic()))
 
-    def _hear_seek(self, sender, seek):
+    def _handle_seek(self, sender, seek):
         held = self._held.get(seek.key)
         if held is None:
-            peer, _ = self._moved.get(seek.key, ("", 0.0))
+            peer, _ = self._handed_over.get(seek.key, ("", 0.0))
             answer = Moved(seek.search, peer) if peer else Unheld(seek.search)
             self._peers.forward(sender, answer)
         elif held.session.handing_over:
-            # Who asks in the middle of a move is answered after it.
-            self._later.setdefault(seek.key, []).append((sender, seek))
+            # Reply after the hand-over that is in progress.
+            self._deferred_seeks.setdefault(seek.key, []).append((sender, seek))
         else:
             self._send_state(held.session, seek.search, (sender,))
 
-    def _hear_moved(self, sender, message):
+    def _handle_moved(self, sender, message):
         now = time.monotonic()
         self._apply(self._searches.redirect(sender, message, now))
 
-    def _hear_recall(self, sender, message):
-        """Drop a state that its sender has given to another peer meanwhile.
+    def _handle_recall(self, sender, message):
+        """Drop a state that its sender has handed over to another peer meanwhile.
 
-        Guard: a frozen instance takes a state that was offered long ago, and goes on
-        with it beside the one that took its place; a caller that met both could read
-        a mixture.
+        An instance that was frozen may accept a state that was offered long ago. It
+        would then continue the request beside the other peer, and a caller that
+        reconnects to both could read a mixture of two answers.
         """
         for held in self._held.list():
-            waits = held.until is not None and not held.read
-            if waits and held.transfer == f"{sender}/{message.transfer}":
+            unclaimed = held.expires_at is not None and not held.delivered
+            if unclaimed and held.transfer == f"{sender}/{message.transfer}":
                 self._held.drop(held.session.key)
                 held.session.abandon()
 
-    def _hear_unheld(self, sender, message):
+    def _handle_unheld(self, sender, message):
         self._apply(self._searches.receive(sender, message, time.monotonic()))
 
     def _send_state(self, session, transfer, peers):
-        """Stop the request here and offer its state, its KV cache left at an engine.
+        """Store the KV cache at an engine, stop the request and offer it to peers.
 
-        Guard: tokens that the caller got after the state was taken would be written
-        again elsewhere, and may read differently; so nothing is generated meanwhile.
+        No tokens are generated after the state was made: the next instance would
+        generate them again, and they may differ from those that the caller has read.
         """
         session.handing_over = True
-        self._moving[transfer] = session
-        session.store_cache(lambda: self._send_parked(session, transfer, peers))
+        self._handing_over[transfer] = session
+        session.store_cache(lambda: self._send_stored(session, transfer, peers))
 
-    def _send_parked(self, session, transfer, peers):
+    def _send_stored(self, session, transfer, peers):
         session.suspend()
         parts = handoffs.pack_state(session.make_state())
         if parts is None:
@@ -291,26 +298,26 @@
         self._peers.forward(action.instance, action.message)
 
     def _delivered(self, action):
-        session = self._moving.pop(action.transfer)
+        session = self._handing_over.pop(action.transfer)
         session.handing_over = False
-        until = time.monotonic() + self._cfg.reconnect_keep
-        self._moved[session.key] = (action.peer, until)
+        expires_at = time.monotonic() + self._cfg.reconnect_keep
+        self._handed_over[session.key] = (action.peer, expires_at)
         self._held.drop(session.key)
         session.finish_hand_over()
         log_event("handed over", request=session.request_id, peer=action.peer)
-        self._answer_later(session.key)
+        self._answer_deferred(session.key)
 
     def _undelivered(self, action):
-        session = self._moving.pop(action.transfer)
+        session = self._handing_over.pop(action.transfer)
         session.handing_over = False
         log_event("not handed over", request=session.request_id)
         if not session.closed:
             self._dispatch.requeue(session)
-        self._answer_later(session.key)
+        self._answer_deferred(session.key)
 
-    def _answer_later(self, key):
-        for sender, seek in self._later.pop(key, ()):
-            self._hear_seek(sender, seek)
+    def _answer_deferred(self, key):
+        for sender, seek in self._deferred_seeks.pop(key, ()):
+            self._handle_seek(sender, seek)
 
     def _received(self, action):
         taken = True
@@ -321,32 +328,32 @@
             log_event("not taken over", detail=exc.detail)
         receipt = Receipt(action.transfer, action.number, taken)
         self._peers.forward(action.sender, receipt)
-        waiting = self._waiting.get(action.transfer)
-        if waiting is not None:
-            self._searches.find(action.transfer)
-            self._resolve(action.transfer)
+        pending = self._pending.get(action.transfer)
+        if pending is not None:
+            self._searches.finish(action.transfer)
+            self._finish_search(action.transfer)
         self._dispatch.run_scheduler()
 
     def _take_over(self, action):
-        """Go on with a request that another instance began."""
+        """Continue a request that another instance has handed over."""
         state = action.state
-        if self._dispatch.draining and action.transfer not in self._waiting:
+        if self._dispatch.draining and action.transfer not in self._pending:
             raise NotReady("The instance is stopping.")
-        # A receipt that was lost brings the same state again.
+        # After a lost receipt the same state arrives again.
         if self._held.get(state.key) is not None:
             return
         size = len(state.prompt) + sum(map(len, state.tokens))
         if not self._held.make_room(size):
             raise PoolFull("No room for another state.")
-        session = self._dispatch.adopt(state, Detached())
-        until = time.monotonic() + self._cfg.reconnect_keep
+        session = self._dispatch.adopt(state, NullExchange())
+        expires_at = time.monotonic() + self._cfg.reconnect_keep
         transfer = f"{action.sender}/{action.transfer}"
-        self._held.put(session, until, size, transfer)
-        self._moved.pop(state.key, None)
+        self._held.put(session, expires_at, size, transfer)
+        self._handed_over.pop(state.key, None)
         log_event("taken over", request=session.request_id, tokens=len(state.tokens))
 
     def _not_found(self, action):
-        self._resolve(action.search)
+        self._finish_search(action.search)
 
 
 APPLIERS = {
@@ -356,11 +363,11 @@
     Received: Reconnects._received,
     NotFound: Reconnects._not_found,
 }
-HEARERS = {
-    Part: Reconnects._hear_part,
-    Receipt: Reconnects._hear_receipt,
-    Seek: Reconnects._hear_seek,
-    Unheld: Reconnects._hear_unheld,
-    Moved: Reconnects._hear_moved,
-    Recall: Reconnects._hear_recall,
+MESSAGE_HANDLERS = {
+    Part: Reconnects._handle_part,
+    Receipt: Reconnects._handle_receipt,
+    Seek: Reconnects._handle_seek,
+    Unheld: Reconnects._handle_unheld,
+    Moved: Reconnects._handle_moved,
+    Recall: Reconnects._handle_recall,
 }
--- a/tests/test_handoffs.py
+++ b/tests/test_handoffs.py
@@ -6,12 +6,12 @@
 from chervilwing.exceptions import BadFrame
 from chervilwing.frames import MAX_FRAME, Frame, encode
 from chervilwing.handoffs import (
-    OFFERS,
-    QUESTIONS,
-    RECEIPT_WAIT,
-    SEARCH_WAIT,
+    MAX_OFFERS,
+    MAX_SEARCH_PEERS,
+    MAX_TRANSFERS,
+    RECEIPT_TIMEOUT,
+    SEARCH_TIMEOUT,
     STATE_LIMIT,
-    TRANSFERS_AT_ONCE,
     Delivered,
     Inbox,
     Key,
@@ -27,8 +27,8 @@
     State,
     Undelivered,
     Unheld,
-    choose_asked,
-    choose_takers,
+    choose_recipients,
+    choose_search_peers,
     pack_state,
     unpack_state,
 )
@@ -44,7 +44,7 @@
     return State(KEY, "memo", prompt, 8, True, False, "memo", 1, tokens, 0, 2.5)
 
 
-def carry(outbox, inbox, actions, now=0.0):
+def exchange_messages(outbox, inbox, actions, now=0.0):
     """Pass parts and receipts between the two until one has nothing to say."""
     found = []
     while actions:
@@ -67,7 +67,7 @@
             state = make_state("x" * size)
             outbox, inbox = Outbox(), Inbox(4_000_000)
             actions = outbox.begin("t", pack_state(state), ("two",), 0.0)
-            (received,) = carry(outbox, inbox, actions)
+            (received,) = exchange_messages(outbox, inbox, actions)
             self.assertEqual(received.state, state)
             self.assertEqual(inbox.size, 0)
             receipt = Receipt("t", received.number, True)
@@ -97,26 +97,26 @@
         # others, the request would be lost with its instance.
         outbox = Outbox()
         outbox.begin("t", [b"a"], ("dead", "full", "three"), 0.0)
-        (sent,) = outbox.tick(RECEIPT_WAIT + 0.1)
+        (sent,) = outbox.tick(RECEIPT_TIMEOUT + 0.1)
         self.assertEqual(sent.instance, "full")
         (sent,) = outbox.receive("full", Receipt("t", 0, False), 1.0)
         self.assertEqual(sent.instance, "three")
         late = outbox.receive("dead", Receipt("t", 0, True), 1.0)
         # It was frozen, and took what another goes on with by now.
         self.assertEqual(late, [Forward("dead", Recall("t"))])
-        found = outbox.tick(1.0 + 2 * RECEIPT_WAIT)
+        found = outbox.tick(1.0 + 2 * RECEIPT_TIMEOUT)
         self.assertEqual((found, outbox.count()), ([Undelivered("t")], 0))
 
     def test_a_wave_fills_no_buffer(self):
         outbox, sent = Outbox(), []
         for number in range(500):
             sent += outbox.begin(str(number), [b"a"], ("two",), 0.0)
-        self.assertEqual(len(sent), TRANSFERS_AT_ONCE)
+        self.assertEqual(len(sent), MAX_TRANSFERS)
         while sent:
             part = sent.pop(0).message
             actions = outbox.receive("two", Receipt(part.transfer, 0, True), 0.0)
             sent += [item for item in actions if isinstance(item, Forward)]
-            self.assertLessEqual(len(sent), TRANSFERS_AT_ONCE)
+            self.assertLessEqual(len(sent), MAX_TRANSFERS)
         self.assertEqual(outbox.count(), 0)
 
 
@@ -156,12 +156,12 @@
 
 class TestPeers(unittest.TestCase):
     def test_takers_are_in_other_data_centres_while_there_are_any(self):
-        takers = choose_takers(KEY, LIVE, "a")
-        self.assertEqual(len(takers), OFFERS)
-        self.assertNotIn("a", {LIVE[name] for name in takers})
-        alone = {name: "a" for name in LIVE}
-        self.assertEqual(len(choose_takers(KEY, alone, "a")), OFFERS)
-        self.assertEqual(choose_takers(KEY, {}, "a"), ())
+        recipients = choose_recipients(KEY, LIVE, "a")
+        self.assertEqual(len(recipients), MAX_OFFERS)
+        self.assertNotIn("a", {LIVE[name] for name in recipients})
+        same_data_centre = {name: "a" for name in LIVE}
+        self.assertEqual(len(choose_recipients(KEY, same_data_centre, "a")), MAX_OFFERS)
+        self.assertEqual(choose_recipients(KEY, {}, "a"), ())
 
     def test_the_first_two_asked_hold_the_state_wherever_it_came_from(self):
         # A caller reconnects anywhere in a fleet of hundreds. Whoever it meets must
@@ -170,10 +170,10 @@
         for number in range(50):
             key = KEY._replace(request_id=str(number))
             for centre in ("dc0", "dc3"):
-                holder = choose_takers(key, fleet, centre)[0]
-                asked = choose_asked(key, fleet, ())
-                self.assertIn(holder, asked[:2])
-                self.assertEqual(len(asked), QUESTIONS)
+                holder = choose_recipients(key, fleet, centre)[0]
+                peers = choose_search_peers(key, fleet, ())
+                self.assertIn(holder, peers[:2])
+                self.assertEqual(len(peers), MAX_SEARCH_PEERS)
 
 
 class TestSearches(unittest.TestCase):
@@ -185,7 +185,7 @@
         self.assertEqual(searches.receive("three", Unheld("s"), 0.1), [NotFound("s")])
         self.assertEqual(searches.receive("three", Unheld("s"), 0.1), [])
         searches.begin("s", KEY, ("dead",), 0.0)
-        self.assertEqual(searches.tick(SEARCH_WAIT + 0.1), [NotFound("s")])
+        self.assertEqual(searches.tick(SEARCH_TIMEOUT + 0.1), [NotFound("s")])
         self.assertEqual(searches.begin("s", KEY, (), 0.0), [NotFound("s")])
 
     def test_follows_a_state_that_has_moved_but_not_in_circles(self):
@@ -202,10 +202,10 @@
     def test_waits_on_while_parts_come(self):
         searches = Searches()
         searches.begin("s", KEY, ("two",), 0.0)
-        searches.prolong("s", SEARCH_WAIT)
-        self.assertEqual(searches.tick(SEARCH_WAIT + 0.1), [])
-        searches.find("s")
+        searches.extend("s", SEARCH_TIMEOUT)
+        self.assertEqual(searches.tick(SEARCH_TIMEOUT + 0.1), [])
+        searches.finish("s")
         self.assertEqual(searches.tick(99.0), [])
 
     def test_a_fleet_of_one_asks_nobody(self):
-        self.assertEqual(handoffs.choose_asked(KEY, {}, ()), ())
+        self.assertEqual(handoffs.choose_search_peers(KEY, {}, ()), ())
