--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -1,4 +1,4 @@
-"""Tests of KV caches on their way between engines: what is held, and what is not."""
+"""Tests of the transfer of KV caches between engines."""
 
 import threading
 import unittest
@@ -11,33 +11,33 @@
 
 
 def make_cache(size):
-    """Return a cache of so many bytes."""
+    """Return a cache of ``size`` bytes."""
     return {"handle": "h", "blob": "x" * size, "tokens": 1}
 
 
-class TestHeldCaches(unittest.TestCase):
-    def test_a_wave_of_moves_holds_no_more_than_the_limit(self):
-        # A data centre is reclaimed and hundreds of requests export at once. Held
-        # without a bound, the caches take the instance's memory and it is killed.
-        held = CacheBuffer(limit=100)
+class TestCacheBuffer(unittest.TestCase):
+    def test_size_stays_within_the_limit_when_many_requests_move(self):
+        # When a data centre is reclaimed, hundreds of caches are exported at once.
+        # Without a limit they would fill the instance's memory, and it would be killed.
+        buffer = CacheBuffer(limit=100)
         for number in range(50):
-            held.put(f"r{number}", make_cache(30))
-        self.assertEqual(held.size, 90)
-        self.assertTrue(held.full)
+            buffer.put(f"r{number}", make_cache(30))
+        self.assertEqual(buffer.size, 90)
+        self.assertTrue(buffer.full)
         for number in range(50):
-            held.drop(f"r{number}")
-        self.assertEqual(held.size, 0)
+            buffer.drop(f"r{number}")
+        self.assertEqual(buffer.size, 0)
 
-    def test_a_second_cache_takes_the_place_of_the_first(self):
-        held = CacheBuffer(limit=100)
+    def test_put_replaces_the_earlier_cache(self):
+        buffer = CacheBuffer(limit=100)
         for size in (60, 50, 101):
-            held.put("r", make_cache(size))
-        self.assertEqual((held.get("r"), held.size), (None, 0))
+            buffer.put("r", make_cache(size))
+        self.assertEqual((buffer.get("r"), buffer.size), (None, 0))
 
 
 class TestBoundedCall(unittest.TestCase):
-    def check_given_up(self, script, limit):
-        """Check that a call to such an engine ends by itself, as one without answer."""
+    def check_call_fails(self, script, limit):
+        """Check that a call ends by itself with status 0 and no body."""
         engine = RawUpstream(lambda *request: script(engine, *request))
         self.addCleanup(engine.close)
         loop = Loop()
@@ -50,20 +50,20 @@
         self.assertEqual((replies, client.count()), ([(0, b"")], 0))
         return engine
 
-    def test_an_endless_cache_counts_as_none(self):
-        # An engine sends a cache of gigabytes. The instance must neither hold it nor
-        # wait for its end: the request goes on from its tokens.
+    def test_a_cache_beyond_the_size_limit_is_dropped(self):
+        # An engine sends a cache of gigabytes. The instance must neither buffer it nor
+        # wait for its end; the request is resumed from its tokens.
         def send(engine, conn, method, path, body):
             conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n")
             while True:
                 engine.send(conn, b"x" * 65536)
 
-        engine = self.check_given_up(send, 60.0)
+        engine = self.check_call_fails(send, 60.0)
         self.assertLess(engine.sent, 2 * MAX_CACHE_BYTES)
 
-    def test_a_cache_that_comes_byte_by_byte_counts_as_none(self):
-        # An engine on a dying machine sends a byte now and then. Never silent for long
-        # enough, it would hold the request until the instance is gone.
+    def test_a_cache_sent_too_slowly_is_dropped(self):
+        # An engine on a failing machine sends single bytes. It never reaches the
+        # silence timeout and would block the request until the engine is reclaimed.
         done = threading.Event()
         self.addCleanup(done.set)
 
@@ -72,4 +72,4 @@
             while not done.wait(0.02):
                 conn.sendall(b"x")
 
-        self.check_given_up(send, 0.3)
+        self.check_call_fails(send, 0.3)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path in separate processes."""
+"""Tests of requests through all components, in separate processes."""
 
 import time
 import unittest
@@ -18,22 +18,23 @@
         cls.deployment.start_upstreams(engines=3, services=1)
         cls.entries = [cls.deployment.start_entry(name) for name in ("one", "two")]
 
-    def test_a_completion_is_whole_on_both_instances(self):
+    def test_a_completion_is_complete_on_both_instances(self):
         for entry in self.entries:
             answer = complete(entry)
             self.assertEqual(answer.status, 200, answer.body)
             self.assertEqual(answer.json()["choices"][0]["text"], TEXT)
 
-    def test_a_stream_is_chunked_and_ends_with_its_mark(self):
+    def test_a_stream_is_chunked_and_ends_with_the_end_mark(self):
         answer = complete(self.entries[0], stream=True)
         self.assertEqual(answer.headers["transfer-encoding"], "chunked")
         self.assertTrue(answer.whole)
         self.assertEqual(read_stream(answer), (TEXT, True))
 
-    def test_a_note_sent_twice_takes_effect_once(self):
-        # A broker's client loses the answer and sends the binding note again; the
-        # balancer hands it to the other instance. One effect, the same answer twice;
-        # until the first answer is recorded the second try is told to come back.
+    def test_a_call_sent_twice_under_one_key_takes_effect_once(self):
+        # A caller loses the answer to a non-idempotent call and sends the call again;
+        # the balancer routes it to the other instance. It must take effect once and get
+        # the same answer; status 409 asks for a retry until the first answer is
+        # recorded.
         headers = AUTHORISED | {"Idempotency-Key": new_key(time.time())}
 
         def send(entry):
@@ -48,13 +49,13 @@
         key = headers["Idempotency-Key"]
         self.assertEqual(record["by_key"][key], 1)
 
-    def test_the_instances_know_each_other(self):
+    def test_each_instance_lists_both_as_members(self):
         for entry in self.entries:
             poll(lambda e=entry: e.get("/-/status")[1]["peers"]["members"] == 2)
 
-    def test_a_refusal_without_a_customer_is_counted(self):
-        # A customer's key is misspelt; all its calls fail, and the operators' figures
-        # showed nothing, since a refusal before the customer is known had no series.
+    def test_a_refusal_without_a_known_customer_is_counted(self):
+        # All calls with a misspelt key are refused before the customer is known. The
+        # metrics must show these refusals too, as a series of their own.
         entry = self.entries[0]
         call(entry.port, "GET", "/v1/models", headers={"Authorization": "Bearer no"})
         metrics = call(entry.port, "GET", "/-/metrics").body.decode()
--- a/tests/test_handoffs.py
+++ b/tests/test_handoffs.py
@@ -1,4 +1,4 @@
-"""Tests of states on their way between entry instances, without sockets."""
+"""Tests of hand-overs between entry instances, without sockets."""
 
 import unittest
 
@@ -40,17 +40,17 @@
 
 
 def make_state(prompt="history", tokens=(" ba", " de")):
-    """Return a request with two tokens so far."""
+    """Return the state of a request, by default with two tokens."""
     return State(KEY, "memo", prompt, 8, True, False, "memo", 1, tokens, 0, 2.5)
 
 
 def exchange_messages(outbox, inbox, actions, now=0.0):
-    """Pass parts and receipts between the two until one has nothing to say."""
-    found = []
+    """Pass parts and receipts until none is left; return the other actions."""
+    results = []
     while actions:
         action = actions.pop(0)
         if not isinstance(action, Forward):
-            found.append(action)
+            results.append(action)
             continue
         kind = type(action.message)
         message = rebuild(kind, [*action.message])
@@ -58,11 +58,11 @@
             actions += inbox.receive("one", message, now)
         else:
             actions += outbox.receive("two", message, now)
-    return found
+    return results
 
 
 class TestStates(unittest.TestCase):
-    def test_a_state_of_any_size_arrives_as_it_was(self):
+    def test_a_state_of_any_size_arrives_unchanged(self):
         for size in (0, 1, 50_000, 1_000_000):
             state = make_state("x" * size)
             outbox, inbox = Outbox(), Inbox(4_000_000)
@@ -85,29 +85,30 @@
     def test_a_state_over_the_limit_is_not_sent(self):
         self.assertIsNone(pack_state(make_state("x" * STATE_LIMIT)))
 
-    def test_nonsense_is_a_bad_frame(self):
+    def test_invalid_data_raises_bad_frame(self):
         for data in (b"", b"\xc1", b"\x01", b"\x92\x01\x02"):
             with self.subTest(data=data), self.assertRaises(BadFrame):
                 unpack_state([data])
 
 
 class TestOutbox(unittest.TestCase):
-    def test_a_dead_or_full_peer_is_passed_over(self):
-        # The first peer has died and the second has no room. Told to neither of the
-        # others, the request would be lost with its instance.
+    def test_the_next_peer_is_tried_after_a_dead_or_full_one(self):
+        # The first peer has died and the second has no room. Unless the state is
+        # offered to the third, the request is lost with its instance.
         outbox = Outbox()
         outbox.begin("t", [b"a"], ("dead", "full", "three"), 0.0)
         (sent,) = outbox.tick(RECEIPT_TIMEOUT + 0.1)
         self.assertEqual(sent.instance, "full")
         (sent,) = outbox.receive("full", Receipt("t", 0, False), 1.0)
         self.assertEqual(sent.instance, "three")
-        late = outbox.receive("dead", Receipt("t", 0, True), 1.0)
-        # It was frozen, and took what another goes on with by now.
-        self.assertEqual(late, [Forward("dead", Recall("t"))])
-        found = outbox.tick(1.0 + 2 * RECEIPT_TIMEOUT)
-        self.assertEqual((found, outbox.count()), ([Undelivered("t")], 0))
-
-    def test_a_wave_fills_no_buffer(self):
+        recall = outbox.receive("dead", Receipt("t", 0, True), 1.0)
+        # The peer was frozen and accepted the state late, after it was offered to
+        # others.
+        self.assertEqual(recall, [Forward("dead", Recall("t"))])
+        results = outbox.tick(1.0 + 2 * RECEIPT_TIMEOUT)
+        self.assertEqual((results, outbox.count()), ([Undelivered("t")], 0))
+
+    def test_many_states_are_sent_a_limited_number_at_a_time(self):
         outbox, sent = Outbox(), []
         for number in range(500):
             sent += outbox.begin(str(number), [b"a"], ("two",), 0.0)
@@ -121,24 +122,28 @@
 
 
 class TestInbox(unittest.TestCase):
-    def refused(self, actions):
+    def is_refused(self, actions):
         return [action.message.taken for action in actions] == [False]
 
     def test_parts_out_of_place_or_over_the_limit_are_refused(self):
         inbox = Inbox(100)
-        self.assertTrue(self.refused(inbox.receive("one", Part("t", 1, 3, b"a"), 0.0)))
+        self.assertTrue(
+            self.is_refused(inbox.receive("one", Part("t", 1, 3, b"a"), 0.0))
+        )
         inbox.receive("one", Part("t", 0, 3, b"a" * 60), 0.0)
-        # Another sender's transfer of the same name is its own.
-        self.assertTrue(self.refused(inbox.receive("two", Part("t", 1, 3, b"a"), 0.0)))
+        # Transfers of different senders are separate even with the same id.
+        self.assertTrue(
+            self.is_refused(inbox.receive("two", Part("t", 1, 3, b"a"), 0.0))
+        )
         self.assertTrue(
-            self.refused(inbox.receive("one", Part("t", 1, 3, b"a" * 60), 0.0))
+            self.is_refused(inbox.receive("one", Part("t", 1, 3, b"a" * 60), 0.0))
         )
         self.assertTrue(
-            self.refused(inbox.receive("one", Part("t", 0, 10**6, b"a"), 0.0))
+            self.is_refused(inbox.receive("one", Part("t", 0, 10**6, b"a"), 0.0))
         )
         self.assertEqual(inbox.size, 0)
 
-    def test_what_a_dead_sender_left_is_dropped(self):
+    def test_parts_of_a_dead_sender_are_dropped(self):
         inbox = Inbox(100)
         inbox.receive("one", Part("t", 0, 3, b"a" * 60), 0.0)
         inbox.tick(0.1)
@@ -146,7 +151,7 @@
         inbox.tick(10.0)
         self.assertEqual(inbox.size, 0)
 
-    def test_a_transfer_that_starts_again_is_whole(self):
+    def test_a_restarted_transfer_completes(self):
         inbox, parts = Inbox(10**6), pack_state(make_state("x" * 60_000))
         inbox.receive("one", Part("t", 0, 2, parts[0]), 0.0)
         inbox.receive("one", Part("t", 0, 2, parts[0]), 1.0)
@@ -154,8 +159,8 @@
         self.assertIsInstance(received, Received)
 
 
-class TestPeers(unittest.TestCase):
-    def test_takers_are_in_other_data_centres_while_there_are_any(self):
+class TestPeerChoice(unittest.TestCase):
+    def test_recipients_in_other_data_centres_come_first(self):
         recipients = choose_recipients(KEY, LIVE, "a")
         self.assertEqual(len(recipients), MAX_OFFERS)
         self.assertNotIn("a", {LIVE[name] for name in recipients})
@@ -163,9 +168,9 @@
         self.assertEqual(len(choose_recipients(KEY, same_data_centre, "a")), MAX_OFFERS)
         self.assertEqual(choose_recipients(KEY, {}, "a"), ())
 
-    def test_the_first_two_asked_hold_the_state_wherever_it_came_from(self):
-        # A caller reconnects anywhere in a fleet of hundreds. Whoever it meets must
-        # find the holder without asking all of them.
+    def test_the_holder_is_one_of_the_first_two_search_peers(self):
+        # A caller may reconnect to any of hundreds of instances. That instance must
+        # find the holder without asking all others.
         fleet = {f"n{number}": f"dc{number % 10}" for number in range(320)}
         for number in range(50):
             key = KEY._replace(request_id=str(number))
@@ -177,7 +182,7 @@
 
 
 class TestSearches(unittest.TestCase):
-    def test_ends_when_all_have_denied_or_one_is_silent(self):
+    def test_ends_when_all_peers_have_replied_or_at_the_timeout(self):
         searches = Searches()
         sent = searches.begin("s", KEY, ("two", "three"), 0.0)
         self.assertEqual(sent[0], Forward("two", Seek("s", KEY)))
@@ -188,7 +193,7 @@
         self.assertEqual(searches.tick(SEARCH_TIMEOUT + 0.1), [NotFound("s")])
         self.assertEqual(searches.begin("s", KEY, (), 0.0), [NotFound("s")])
 
-    def test_follows_a_state_that_has_moved_but_not_in_circles(self):
+    def test_follows_a_moved_state_without_endless_redirects(self):
         searches = Searches()
         searches.begin("s", KEY, ("two",), 0.0)
         sent = searches.redirect("two", Moved("s", "three"), 0.1)
@@ -199,7 +204,7 @@
             searches.redirect("two", Moved("s", "three"), 0.3), [NotFound("s")]
         )
 
-    def test_waits_on_while_parts_come(self):
+    def test_parts_of_the_state_extend_the_timeout(self):
         searches = Searches()
         searches.begin("s", KEY, ("two",), 0.0)
         searches.extend("s", SEARCH_TIMEOUT)
@@ -207,5 +212,5 @@
         searches.finish("s")
         self.assertEqual(searches.tick(99.0), [])
 
-    def test_a_fleet_of_one_asks_nobody(self):
+    def test_a_single_instance_has_no_search_peers(self):
         self.assertEqual(handoffs.choose_search_peers(KEY, {}, ()), ())
--- a/tests/test_reconnects.py
+++ b/tests/test_reconnects.py
@@ -1,4 +1,4 @@
-"""Callers that come back for an answer: what they get, and what is kept for them."""
+"""Tests of callers that reconnect: the answers they get and the limits on them."""
 
 import unittest
 
@@ -7,9 +7,10 @@
 from tests.procs import HOST, Caller, call, poll
 from tests.resuming import PATH, Reader
 
+# Factor by which the engine is slowed down.
 SLOW = 100
-KEPT = 2000
-# Long names make long events, so that the kernel's buffers fill with fewer of them.
+MAX_KEPT_BYTES = 2000
+# Long ids make long events, so that fewer events fill the kernel's buffers.
 LONG_NAME = "entry-" + "x" * 58
 LONG_ID = "r" * 64
 
@@ -38,7 +39,7 @@
         return sum(row["prompt"] == prompt for row in rows)
 
     def give_notice(self, entry):
-        """Tell the instance a-one that it has a second left."""
+        """Give the instance a-one notice that it is reclaimed in 1 s."""
         row = {"name": "a-one", "role": "entry", "data_centre": "a", "zone": "a"}
         row |= {"host": HOST, "port": entry.port}
         cloud = self.deployment.cloud
@@ -51,16 +52,16 @@
 
 
 class TestSameInstance(ReconnectCase):
-    def test_a_whole_answer_is_given_again_byte_for_byte(self):
-        # The last bytes of a memo are lost between balancer and broker, after the
-        # instance has written them. Asked for again, it must be the very same memo.
+    def test_a_complete_answer_is_repeated_byte_for_byte(self):
+        # The last bytes of an answer are lost between balancer and caller, after the
+        # instance has sent them. A reconnect must get exactly the same answer.
         headers = {"X-Request-Id": "memo-1"}
         first = complete(self.entries[0], "whole", headers=headers)
         again = complete(self.entries[0], "whole", headers=headers)
         self.assertEqual((first.status, first.body), (200, again.body))
         self.assertEqual(self.count_attempts("whole"), 1)
 
-    def test_another_request_or_customer_under_the_id_is_its_own(self):
+    def test_an_id_reused_by_another_request_or_customer_is_separate(self):
         headers = {"X-Request-Id": "memo-2"}
         for prompt, count, key in (
             ("mine", 8, AUTHORISED),
@@ -73,7 +74,7 @@
             self.assertEqual(answer.json()["choices"][0]["text"], text)
         self.assertEqual(self.count_attempts("mine"), 3)
 
-    def test_a_reader_lacks_no_event_wherever_it_stopped(self):
+    def test_a_reader_misses_no_event_wherever_it_stopped(self):
         text = "".join(expected_tokens("memo", "events", 8))
         for last in (None, "", "/0", "/5", "/7"):
             with self.subTest(last=last):
@@ -87,7 +88,7 @@
                 self.assertTrue(text.endswith(reader.text))
         self.assertEqual(self.count_attempts("events"), 1)
 
-    def test_an_event_that_was_never_sent_or_is_malformed_is_refused(self):
+    def test_an_unsent_or_malformed_event_id_is_refused(self):
         complete(self.entries[0], "short", headers={"X-Request-Id": "s-9"}, stream=True)
         body = {"model": "memo", "prompt": "short", "max_tokens": 8, "stream": True}
         for last, status in (
@@ -105,9 +106,10 @@
                 answer = call(self.port, "POST", PATH, body, AUTHORISED | headers)
                 self.assertEqual(answer.status, status, answer.body)
 
-    def test_a_reconnect_takes_the_stream_from_the_old_connection(self):
-        # The balancer gives a reader a new connection and keeps the old one open. The
-        # rest must come on the new one only, and the old one must not look whole.
+    def test_a_reconnect_moves_the_stream_to_the_new_connection(self):
+        # The balancer opens a new connection for a reader and keeps the old one open.
+        # The rest must be sent on the new one only, and the old one must not end
+        # normally.
         self.engine.fault(slow=SLOW)
         old = Reader("stream-2", "twice", 30, True)
         old.connect(self.port)
@@ -124,20 +126,20 @@
 
 
 class TestGrace(ReconnectCase):
-    options = ("--reconnect-grace", "0.3", "--reconnect-bytes", str(KEPT))
+    options = ("--reconnect-grace", "0.3", "--reconnect-bytes", str(MAX_KEPT_BYTES))
 
-    def test_the_engine_is_freed_after_the_grace(self):
+    def test_the_engine_is_freed_after_the_grace_period(self):
         self.engine.fault(slow=SLOW)
-        for named in (True, False):
-            with self.subTest(named=named), Caller(self.port) as caller:
+        for has_id in (True, False):
+            with self.subTest(has_id=has_id), Caller(self.port) as caller:
                 body = {"model": "memo", "prompt": "left", "max_tokens": 3000}
-                headers = AUTHORISED | ({"X-Request-Id": "left"} if named else {})
+                headers = AUTHORISED | ({"X-Request-Id": "left"} if has_id else {})
                 caller.request("POST", PATH, body | {"stream": True}, headers)
                 caller.read_until(b"data: ")
             self.wait_idle(self.entries[0])
             self.assertEqual(self.engine.record()["attempts"][-1]["state"], "cancelled")
 
-    def test_no_more_is_kept_than_the_limit(self):
+    def test_kept_answers_stay_within_the_limit(self):
         for number in range(20):
             headers = {"X-Request-Id": f"kept-{number}"}
             prompt = f"kept {number}" + "x" * 500
@@ -153,9 +155,10 @@
 class TestSlowReader(ReconnectCase):
     names = (LONG_NAME,)
 
-    def test_a_slow_reader_that_leaves_frees_the_engine_for_the_next(self):
-        # A phone stops reading and then loses its connection. The engine was held up
-        # for it; it must write on, so that the reconnect finds the answer.
+    def test_the_engine_resumes_when_a_slow_reader_disconnects(self):
+        # A phone stops reading and then loses its connection. Reading from the engine
+        # was paused for it and must resume, so that the answer is complete at the
+        # reconnect.
         self.engine.fault(slow=0)
         with Caller(self.port) as caller:
             body = {"model": "memo", "prompt": "phone", "max_tokens": 30_000}
@@ -177,9 +180,9 @@
     names = ("a-one", "b-two")
     options = ("--reconnect-bytes", "10")
 
-    def test_a_state_that_no_peer_has_room_for_goes_on_where_it_is(self):
-        # A whole data centre goes and its neighbour is full of states. Refused there,
-        # a plan is not lost as long as its own instance lives.
+    def test_a_request_that_no_peer_accepts_continues_where_it_is(self):
+        # A data centre is reclaimed and the other one has no room for more states. A
+        # refused request must continue as long as its own instance lives.
         one = self.entries[0]
         poll(lambda: one.get("/-/status")[1]["peers"]["members"] == 2)
         self.engine.fault(slow=SLOW)
@@ -194,12 +197,12 @@
         self.assertEqual(reader.indexes, list(range(20)))
 
 
-class TestUnnamed(ReconnectCase):
+class TestWithoutRequestId(ReconnectCase):
     names = ("a-one", "b-two")
 
-    def test_a_stream_is_found_by_the_id_that_it_was_given(self):
-        # A client that names nothing still reads an id with each event. Its instance
-        # ends under it; what it read an id of, it can ask for.
+    def test_a_stream_is_found_by_its_generated_id(self):
+        # A caller that sends no request id still receives one with each event. When its
+        # instance is reclaimed, it can reconnect with that id.
         one, two = self.entries
         poll(lambda: one.get("/-/status")[1]["peers"]["members"] == 2)
         self.engine.fault(slow=SLOW)
@@ -220,9 +223,9 @@
 class TestPlannedStop(ReconnectCase):
     names = ("a-one", "b-two")
 
-    def test_an_answer_that_nobody_has_read_outlives_its_instance(self):
-        # The broker's connection breaks; the memo gets ready; an operator stops the
-        # instance. It ends within the grace, and the memo was paid for and lost.
+    def test_an_unread_answer_is_handed_over_at_a_planned_stop(self):
+        # The caller's connection breaks, the answer completes, and an operator stops
+        # the instance within the grace period. The finished answer must not be lost.
         one, two = self.entries
         poll(lambda: one.get("/-/status")[1]["peers"]["members"] == 2)
         with Caller(one.port) as caller:
