--- a/tests/live.py
+++ b/tests/live.py
@@ -1,4 +1,4 @@
-"""The scenario language on real processes: steps follow each other, none is timed."""
+"""Run live scenarios: each step waits for a condition, not for a time."""
 
 import threading
 import time
@@ -29,8 +29,8 @@
 PARSER = lark.Lark(GRAMMAR.read_text(), parser="earley")
 
 
-class Sent(NamedTuple):
-    """One request of a scenario's caller and what came of it."""
+class SentRequest(NamedTuple):
+    """One request of a scenario and the answers to it."""
 
     kind: str
     prompt: str
@@ -39,7 +39,7 @@
 
 
 class Play:
-    """State of one scenario on real processes."""
+    """State of one scenario that runs on real processes."""
 
     def __init__(self):
         self.deployment = Deployment()
@@ -51,13 +51,13 @@
         self.keys = {}
         self.version = 0
         self.networks = {}
-        self.crowd = ()
+        self.caller_futures = ()
         self.centres = []
-        self.peers_behind = None
+        self.start_peer_relay = None
         self.operators = {}
-        self.noticed_at = {}
+        self.notice_times = {}
         self.load = None
-        self.crowd_tokens = 0
+        self.caller_tokens = 0
         self.fenced = True
         self.holder = None
         self.fences = ()
@@ -77,8 +77,8 @@
         ]
 
     def send_note(self, name, entry, keyed=True):
-        """Send a note, under the key that it had before, and keep the answer."""
-        sent = self.sent.setdefault(name, Sent("note", name, 0, []))
+        """Call the non-idempotent path, with one key per note, and keep the answer."""
+        sent = self.sent.setdefault(name, SentRequest("note", name, 0, []))
         key = self.keys.setdefault(name, new_key(time.time()))
         headers = AUTHORISED | ({"Idempotency-Key": key} if keyed else {})
         path = f"{SERVICE_PATH}/notes"
@@ -86,32 +86,33 @@
         sent.answers.append(call(port, "POST", path, name.encode(), headers))
 
     def upstreams(self):
-        """Return the back ends as the configuration lists them."""
+        """Return the upstreams with the addresses that the configuration lists."""
         return self.deployment.upstreams._replace(
-            engines=self.reached("engines"), services=self.reached("services")
+            engines=self.find_reachable("engines"),
+            services=self.find_reachable("services"),
         )
 
-    def reached(self, group, centre=""):
-        """Return the processes by which a data centre reaches a group."""
+    def find_reachable(self, group, centre=""):
+        """Return the processes or relays to which a data centre connects."""
         networks = self.networks
         found = networks.get((centre, group)) or networks.get(("", group))
         return found or self.group(group)
 
     def find_engine(self, name):
-        """Return the engine that runs a request, and its name, by its own record."""
+        """Return the engine whose record has an attempt at a request, and its name."""
         for number, engine in enumerate(self.engines):
             if engine.popen.poll() is None and self.attempts(engine, name):
                 return engine, f"engine-{number}"
         raise AssertionError(f"no engine runs {name}")
 
     def attempts(self, engine, name):
-        """Return the attempts at a request that an engine has seen."""
+        """Return the attempts at a request from an engine's record."""
         prompt = (self.sent.get(name) or self.readers[name]).prompt
         rows = engine.record()["attempts"]
         return [row for row in rows if row["prompt"] == prompt]
 
     def group(self, name):
-        """Return the stand-ins of one kind."""
+        """Return the fake processes of one kind."""
         return {
             "engines": self.engines,
             "services": self.services,
@@ -151,9 +152,9 @@
     play.entries[name] = play.deployment.start_entry(
         *(name, "--silence-timeout", "1.5"),
         data_centre=centre,
-        store=play.reached("store", centre)[0],
-        cloud=play.reached("cloud", centre)[0],
-        peer=play.peers_behind and play.peers_behind(),
+        store=play.find_reachable("store", centre)[0],
+        cloud=play.find_reachable("cloud", centre)[0],
+        peer=play.start_peer_relay and play.start_peer_relay(),
         ready=ready,
     )
     row = {"name": name, "role": "entry", "data_centre": centre, "zone": centre}
@@ -161,12 +162,12 @@
     assert play.deployment.cloud.post("/-/instances", {"instances": [row]})[0] == 200
 
 
-def signal_group(action):
-    def act(play, group):
+def make_signal_step(action):
+    def step(play, group):
         for process in play.group(group):
             action(process)
 
-    return act
+    return step
 
 
 def publish(play, revision, *models):
@@ -191,7 +192,7 @@
 
 
 def add_spares(configuration, count):
-    """Return the configuration with a pool of upstreams that nobody uses."""
+    """Return the configuration with a further pool of unused upstreams."""
     inventory = configuration.inventory
     pool = Pool("spares", MODEL, ("spare",))
     rows = [
@@ -206,7 +207,7 @@
 
 def start_model_call(kind):
     def begin(play, name, count, entry):
-        sent = Sent(kind, f"prompt of {name}", int(count), [])
+        sent = SentRequest(kind, f"prompt of {name}", int(count), [])
         play.sent[name] = sent
         entry = play.entries[entry]
 
@@ -225,7 +226,7 @@
 
 
 def fetch_document(play, name, entry):
-    sent = play.sent.setdefault(name, Sent("document", name, 0, []))
+    sent = play.sent.setdefault(name, SentRequest("document", name, 0, []))
     port = play.entries[entry].port
     sent.answers.append(call(port, "GET", f"{SERVICE_PATH}/{name}", b"", AUTHORISED))
 
@@ -271,12 +272,12 @@
     play.find_engine(name)[0].fault(**{fault: True})
 
 
-def mend_fault(play, group, fault):
+def clear_fault(play, group, fault):
     for process in play.group(group):
         process.fault(**{fault: None if group == "engines" else False})
 
 
-def expect_whole(play, name):
+def expect_complete_answer(play, name):
     wait_for_answer(play, name)
     sent = play.sent[name]
     answer = sent.answers[-1]
@@ -295,7 +296,7 @@
     assert found == [int(status) for status in statuses], found
 
 
-def expect_says(play, name, outcome):
+def expect_outcome(play, name, outcome):
     problem = play.sent[name].answers[-1].json()
     assert problem.get("outcome") == outcome, problem
 
@@ -309,11 +310,11 @@
 def expect_recomputed(play, name, most):
     rows = [row for item in play.engines for row in play.attempts(item, name)]
     found = [row["recomputed"] for row in rows]
-    assert len(rows) > 1, "no engine went on with it"
+    assert len(rows) > 1, "no other engine resumed it"
     assert sum(found) <= int(most), found
 
 
-def expect_tried(play, name, count):
+def expect_attempt_count(play, name, count):
     rows = [row for item in play.engines for row in play.attempts(item, name)]
     assert len(rows) == int(count), rows
 
@@ -333,7 +334,7 @@
     poll(lambda: play.entries[name].get("/-/ready")[0] == 503)
 
 
-def expect_ended(play, name):
+def expect_clean_exit(play, name):
     assert play.entries[name].popen.wait(20) == 0
 
 
@@ -347,7 +348,7 @@
     poll(leaving, 3.0)
 
 
-def expect_elsewhere(play, name, other):
+def expect_not_on_engine_of(play, name, other):
     engine, _ = play.find_engine(other)
     rows = play.attempts(engine, name)
     assert not rows, rows
@@ -378,24 +379,24 @@
     "kill": lambda play, name: play.entries[name].kill(),
     "freeze": lambda play, name: play.entries[name].freeze(),
     "resume": lambda play, name: play.entries[name].resume(),
-    "freeze_group": signal_group(Process.freeze),
-    "resume_group": signal_group(Process.resume),
+    "freeze_group": make_signal_step(Process.freeze),
+    "resume_group": make_signal_step(Process.resume),
     "fault": set_fault,
     "fault_first": fault_first,
     "fault_engine": fault_engine,
-    "mend": mend_fault,
-    "expect_whole": expect_whole,
+    "mend": clear_fault,
+    "expect_whole": expect_complete_answer,
     "expect_answers": expect_answers,
-    "expect_says": expect_says,
+    "expect_says": expect_outcome,
     "expect_effects": expect_effects,
     "expect_recomputed": expect_recomputed,
-    "expect_tried": expect_tried,
+    "expect_tried": expect_attempt_count,
     "expect_calls": expect_calls,
     "expect_ready": expect_ready,
     "expect_not_ready": expect_not_ready,
-    "expect_ended": expect_ended,
+    "expect_ended": expect_clean_exit,
     "expect_leaving": expect_leaving,
-    "expect_elsewhere": expect_elsewhere,
+    "expect_elsewhere": expect_not_on_engine_of,
     **live_faults.STEPS,
     **live_fleet.STEPS,
     **live_orders.STEPS,
@@ -403,7 +404,7 @@
 
 
 def run(text):
-    """Play a scenario on processes of its own; AssertionError names the step."""
+    """Run a scenario on processes of its own; AssertionError names the step."""
     tree = PARSER.parse("\n" + text)
     play = Play()
     try:
--- a/tests/live_faults.py
+++ b/tests/live_faults.py
@@ -1,4 +1,4 @@
-"""Steps of the live scenarios that act on networks, operators and many callers."""
+"""Steps of the live scenarios for networks, many callers and notes."""
 
 import threading
 from collections import Counter
@@ -9,56 +9,56 @@
 from tests.fakes.tokens import expected_tokens
 from tests.procs import HOST, poll
 
-EVERYWHERE = ""
-BETWEEN = ("", "entries")
-RETRIED = "/in-progress"
+ALL_DATA_CENTRES = ""
+PEER_NETWORK = ("", "entries")
+IN_PROGRESS_SUFFIX = "/in-progress"
 
 
-def join_network(play, *where):
-    """Put a relay before each process of a group, for one data centre or for all."""
+def start_relays(play, *where):
+    """Start a relay to each process of a group, for one data centre or for all."""
     *centre, group = where
     start = play.deployment.processes.start_fake
-    play.networks[(centre[0] if centre else EVERYWHERE, group)] = tuple(
+    play.networks[(centre[0] if centre else ALL_DATA_CENTRES, group)] = tuple(
         start("relay", "--to", f"{HOST}:{process.port}")
         for process in play.group(group)
     )
 
 
-def set_network(fault, value):
-    """Return the step that sets a fault of a network."""
+def make_network_step(fault, value):
+    """Return the step that sets a fault on a group's relays."""
 
-    def act(play, *where):
+    def step(play, *where):
         *centre, group = where
-        key = (centre[0] if centre else EVERYWHERE, group)
+        key = (centre[0] if centre else ALL_DATA_CENTRES, group)
         for relay in play.networks[key]:
             relay.fault(**{fault: value})
 
-    return act
+    return step
 
 
-def join_peers(play):
-    """Let each entry instance that starts from now on be dialled through a relay."""
-    relays = play.networks[BETWEEN] = []
+def start_peer_relays(play):
+    """Give each entry instance that starts later a relay for its peers' connections."""
+    relays = play.networks[PEER_NETWORK] = []
 
     def add():
         relays.append(play.deployment.processes.start_fake("relay"))
         return relays[-1]
 
-    play.peers_behind = add
+    play.start_peer_relay = add
 
 
-def set_between(cut):
-    """Return the step that cuts or joins the entry instances' streams."""
+def make_peer_network_step(cut):
+    """Return the step that cuts or restores the connections between entry instances."""
 
-    def act(play):
-        for relay in play.networks[BETWEEN]:
+    def step(play):
+        for relay in play.networks[PEER_NETWORK]:
             relay.fault(cut=cut)
 
-    return act
+    return step
 
 
-def send_crowd(play, count, tokens, entry):
-    """Let many callers with prompts of their own call at once."""
+def start_callers(play, count, tokens, entry):
+    """Start ``count`` concurrent callers, each with its own prompt."""
     count, tokens, entry = int(count), int(tokens), play.entries[entry]
     prompts = [f"prompt of caller {number}" for number in range(count)]
     pool = ThreadPoolExecutor(count)
@@ -66,33 +66,33 @@
     def ask(prompt):
         return prompt, complete(entry, prompt, tokens)
 
-    play.crowd = [pool.submit(ask, prompt) for prompt in prompts]
-    play.crowd_tokens = tokens
+    play.caller_futures = [pool.submit(ask, prompt) for prompt in prompts]
+    play.caller_tokens = tokens
     threading.Thread(target=pool.shutdown, daemon=True).start()
 
 
-def expect_crowd(play):
-    """Expect that each caller got its own whole answer."""
-    for fut in play.crowd:
+def expect_all_answered(play):
+    """Expect that each caller got its own complete answer."""
+    for fut in play.caller_futures:
         prompt, answer = fut.result(30)
         assert answer.status == 200, (prompt, answer.body)
-        text = "".join(expected_tokens("memo", prompt, play.crowd_tokens))
+        text = "".join(expected_tokens("memo", prompt, play.caller_tokens))
         assert answer.json()["choices"][0]["text"] == text, (prompt, answer.body)
 
 
-def expect_no_crossing(play):
-    """Expect that each caller got its own whole answer or a failure without text."""
-    for fut in play.crowd:
+def expect_no_mixed_answers(play):
+    """Expect that each caller got its own complete answer or an error without text."""
+    for fut in play.caller_futures:
         prompt, answer = fut.result(30)
         if answer.status != 200:
             assert "choices" not in answer.json(), (prompt, answer.body)
             continue
-        text = "".join(expected_tokens("memo", prompt, play.crowd_tokens))
+        text = "".join(expected_tokens("memo", prompt, play.caller_tokens))
         assert answer.json()["choices"][0]["text"] == text, (prompt, answer.body)
 
 
 def send_until_done(play, name, entry):
-    """Send a note under one key until it is answered; each refusal is typed."""
+    """Send a note with one key until status 200; check the type of each refusal."""
 
     def done():
         play.send_note(name, entry)
@@ -100,38 +100,40 @@
         if answer.status == 200:
             return True
         problem = answer.json()
-        fine = problem["outcome"] == "not_run" or problem["type"].endswith(RETRIED)
-        assert fine, problem
+        expected = problem["outcome"] == "not_run" or problem["type"].endswith(
+            IN_PROGRESS_SUFFIX
+        )
+        assert expected, problem
         return False
 
     poll(done, 16.0)
 
 
 def send_notes(play, count, entry):
-    """Send notes one after the other, each until it is answered."""
+    """Send notes in sequence, each until it is answered."""
     for number in range(int(count)):
         send_until_done(play, f"n-{number}", entry)
 
 
-def begin_note(play, name, entry):
+def start_note(play, name, entry):
     """Send a note and don't wait for its answer."""
 
     def run():
-        # Its entry instance may be killed: then there is no answer to keep.
+        # If the entry instance is killed, there is no answer to keep.
         with suppress(EOFError):
             play.send_note(name, entry)
 
     threading.Thread(target=run, daemon=True).start()
 
 
-def begin_notes(play, count, entry):
+def start_notes(play, count, entry):
     """Send many notes at once and don't wait for their answers."""
     for number in range(int(count)):
-        begin_note(play, f"n-{number}", entry)
+        start_note(play, f"n-{number}", entry)
 
 
 def wait_for_call(play, name):
-    """Wait until a service has a note, whatever becomes of it."""
+    """Wait until a service has received a note."""
     poll(lambda: count_calls(play)[name])
 
 
@@ -147,63 +149,63 @@
 
 
 def find_notes(play):
-    """Return the notes that were sent."""
+    """Return the requests of kind ``note``."""
     return [sent for sent in list(play.sent.values()) if sent.kind == "note"]
 
 
 def count_calls(play):
-    """Return how often each body came to the services."""
+    """Return how often the services received each body."""
     records = [service.record() for service in play.services]
     return Counter(item["body"] for record in records for item in record["calls"])
 
 
-def expect_effect_each(play):
-    """Expect that each note took effect once."""
+def expect_one_effect_each(play):
+    """Expect that each note took effect exactly once."""
     records = [service.record()["by_body"] for service in play.services]
     for sent in find_notes(play):
         found = sum(record.get(sent.prompt, 0) for record in records)
         assert found == 1, (sent.prompt, found)
 
 
-def expect_call_each(play):
-    """Expect that no note came to the services twice."""
+def expect_one_call_each(play):
+    """Expect that the services received no note twice."""
     calls = count_calls(play)
-    again = {name: count for name, count in calls.items() if count > 1}
-    assert not again, again
+    repeated = {name: count for name, count in calls.items() if count > 1}
+    assert not repeated, repeated
 
 
-def expect_notes_whole(play):
-    """Expect that each note's last answer is the service's."""
+def expect_all_notes_answered(play):
+    """Expect that each note's last answer has status 200."""
     wait_for_notes(play)
     found = {sent.prompt: sent.answers[-1].status for sent in find_notes(play)}
     assert set(found.values()) == {200}, found
 
 
-def wait_for_crowd(play):
-    """Wait until an engine works for the crowd."""
+def wait_until_engines_work(play):
+    """Wait until an engine has received an attempt."""
     poll(lambda: any(item.record()["attempts"] for item in play.engines))
 
 
 STEPS = {
-    "network": join_network,
-    "silence": set_network("silent", True),
-    "cut": set_network("cut", True),
-    "join": set_network("cut", False),
-    "network_between": join_peers,
-    "cut_between": set_between(True),
-    "join_between": set_between(False),
-    "crowd": send_crowd,
-    "when_crowd": wait_for_crowd,
-    "expect_crowd": expect_crowd,
-    "expect_no_crossing": expect_no_crossing,
+    "network": start_relays,
+    "silence": make_network_step("silent", True),
+    "cut": make_network_step("cut", True),
+    "join": make_network_step("cut", False),
+    "network_between": start_peer_relays,
+    "cut_between": make_peer_network_step(True),
+    "join_between": make_peer_network_step(False),
+    "crowd": start_callers,
+    "when_crowd": wait_until_engines_work,
+    "expect_crowd": expect_all_answered,
+    "expect_no_crossing": expect_no_mixed_answers,
     "note_until": send_until_done,
     "notes": send_notes,
-    "begin_note": begin_note,
-    "begin_notes": begin_notes,
+    "begin_note": start_note,
+    "begin_notes": start_notes,
     "when_called": wait_for_call,
     "when_booked": wait_for_effect,
     "when_notes": wait_for_notes,
-    "expect_effect_each": expect_effect_each,
-    "expect_call_each": expect_call_each,
-    "expect_notes_whole": expect_notes_whole,
+    "expect_effect_each": expect_one_effect_each,
+    "expect_call_each": expect_one_call_each,
+    "expect_notes_whole": expect_all_notes_answered,
 }
--- a/tests/live_fleet.py
+++ b/tests/live_fleet.py
@@ -1,4 +1,4 @@
-"""Steps of the live scenarios about revisions, operators, reclaims and replacement."""
+"""Steps of the live scenarios for revisions, operators, reclaims and load."""
 
 import itertools
 import json
@@ -10,33 +10,33 @@
 from tests.procs import HOST, call, poll, read_file
 
 OPERATOR_OPTIONS = ("--timeout", "1", "--pause", "0.2")
-DONE, CONFLICT = 0, 3
+EXIT_DONE, EXIT_CONFLICT = 0, 3
 IN_FORCE = "configuration in force"
-IN_FORCE_WITHIN = 16.0
-NO_WORK_AFTER = 3.0
+IN_FORCE_TIMEOUT = 16.0
+NOTICE_TIMEOUT = 3.0
 
 
 def expect_revision(play, name, revision):
-    """Expect that an instance has this revision in force now."""
+    """Expect that an instance's current revision is this one."""
     found = play.entries[name].get("/-/status")[1]["revision"]
     assert found == int(revision), found
 
 
 def list_revisions(entry):
-    """Return the revisions that an instance has put in force, in order."""
+    """Return the revisions that an instance has applied, in order."""
     lines = (json.loads(line) for line in read_file(entry.stderr).splitlines())
     return [line["revision"] for line in lines if line.get("message") == IN_FORCE]
 
 
 def expect_no_reversal(play):
-    """Expect that no instance put an older revision in force after a newer one."""
+    """Expect that no instance applied an older revision after a newer one."""
     for name, entry in play.entries.items():
         found = list_revisions(entry)
         assert found == sorted(found), (name, found)
 
 
 def start_operator(play, name, field, value):
-    """Run the operators' tool beside the scenario."""
+    """Start the operators' tool to set a field of the rules."""
     store = f"{HOST}:{play.deployment.store.port}"
     argv = [sys.executable, "-m", "chervilwing.cli", "--store", store]
     argv += [*OPERATOR_OPTIONS, "rules", "edit", "--set", f"{field}={value}"]
@@ -44,7 +44,7 @@
 
 
 def expect_operator(*codes):
-    """Return the step that expects an operator's edit to end with one of the codes."""
+    """Return the step that expects an edit to exit with one of the codes."""
 
     def check(play, name):
         process = play.operators[name]
@@ -55,39 +55,39 @@
 
 
 def read_stored(play):
-    """Return the stored configuration as the key-value service has it."""
+    """Return the configuration that the store has."""
     return json.loads(play.deployment.store.get("/kv/chervilwing/config")[1]["value"])
 
 
 def expect_stored(play, field, value):
-    """Expect a value in the stored rules."""
+    """Expect this value of a field, ``section.name.key``, in the stored rules."""
     section, name, key = field.split(".")
     rows = read_stored(play)["rules"][section]
     (row,) = (row for row in rows if row["name"] == name)
     assert row[key] == int(value), row
 
 
-def expect_everywhere(play):
-    """Expect the stored revision to be in force on each instance in time."""
+def expect_revision_on_all(play):
+    """Expect each instance to apply the stored revision in time."""
     stored = read_stored(play)["revision"]
 
     def in_force():
         entries = play.entries.values()
         return all(e.get("/-/status")[1]["revision"] == stored for e in entries)
 
-    poll(in_force, IN_FORCE_WITHIN)
+    poll(in_force, IN_FORCE_TIMEOUT)
 
 
 def find_engines(play, centre):
-    """Return name and process of each engine of a data centre."""
+    """Return pairs of name and process for the engines of a data centre."""
     rows = zip(play.engines, play.centres, strict=True)
     return [(f"engine-{i}", e) for i, (e, place) in enumerate(rows) if place == centre]
 
 
-def reclaim_centre(play, centre, seconds):
+def reclaim_data_centre(play, centre, seconds):
     """Give notice to all instances of a data centre."""
     body = {"data_centre": centre, "seconds": int(seconds)}
-    play.noticed_at[centre] = time.time()
+    play.notice_times[centre] = time.time()
     status, answer = play.deployment.cloud.post("/-/notice", body)
     assert status == 200 and answer["noticed"], answer
 
@@ -99,101 +99,101 @@
         assert play.deployment.cloud.post("/-/notice", body)[0] == 200
 
 
-def take_engines(play, centre):
-    """Kill a data centre's engines once their notice is over."""
+def kill_reclaimed_engines(play, centre):
+    """Wait until the cloud has reclaimed a data centre's engines and kill them."""
     engines = find_engines(play, centre)
     names = {name for name, _ in engines}
 
-    def gone():
+    def reclaimed():
         rows = play.deployment.cloud.record()["instances"]
         return not names & {row["name"] for row in rows}
 
-    poll(gone, 20.0)
+    poll(reclaimed, 20.0)
     for _, engine in engines:
         engine.kill()
 
 
-def expect_centre_leaving(play, centre, entry):
-    """Expect an instance to send nothing new to a data centre in time."""
+def expect_data_centre_leaving(play, centre, entry):
+    """Expect an instance to mark a data centre's engines as leaving in time."""
     names = {name for name, _ in find_engines(play, centre)}
 
     def leaving():
         rows = play.entries[entry].get("/-/status")[1]["upstreams"]
         return names <= {row["name"] for row in rows if row["state"] == "leaving"}
 
-    poll(leaving, NO_WORK_AFTER)
+    poll(leaving, NOTICE_TIMEOUT)
 
 
-def wait_until_over(play, centre):
-    """Wait until the cloud has taken the data centre's instances."""
+def wait_until_reclaimed(play, centre):
+    """Wait until the cloud has reclaimed all instances of a data centre."""
 
-    def gone():
+    def reclaimed():
         rows = play.deployment.cloud.record()["instances"]
         return not any(row["data_centre"] == centre for row in rows)
 
-    poll(gone, 30.0)
+    poll(reclaimed, 30.0)
 
 
 def kill_engines(play, centre):
-    """End the engines of a data centre at once."""
+    """Kill the engines of a data centre."""
     for _, engine in find_engines(play, centre):
         engine.kill()
 
 
-def expect_no_work(play, centre):
-    """Expect that no attempt began in a data centre 3 s after its notice."""
-    until = play.noticed_at[centre] + NO_WORK_AFTER
+def expect_no_new_attempts(play, centre):
+    """Expect that no attempt started in a data centre later than 3 s after notice."""
+    until = play.notice_times[centre] + NOTICE_TIMEOUT
     for name, engine in find_engines(play, centre):
         late = [row for row in engine.record()["attempts"] if row["started"] > until]
         assert not late, (name, late)
 
 
 class Load:
-    """Callers behind a balancer that sends to ready instances; ``stop`` ends them."""
+    """Callers that send requests to ready instances in turn, as a balancer would."""
 
     def __init__(self, play):
         self.play = play
-        self.over = threading.Event()
+        self.stopped = threading.Event()
         self.served = 0
-        self.harmed = []
-        self.turns = itertools.count()
+        self.failures = []
+        self.counter = itertools.count()
 
     def start(self, count):
-        """Let so many callers fetch documents one after the other."""
+        """Start ``count`` callers that fetch documents in sequence."""
         self.threads = [threading.Thread(target=self.run) for _ in range(count)]
         for thread in self.threads:
             thread.start()
 
     def run(self):
-        """Call until the load is over; keep what a caller would be harmed by."""
-        while not self.over.is_set():
+        """Send requests until stopped."""
+        while not self.stopped.is_set():
             entries = [e for e in list(self.play.entries.values()) if is_ready(e)]
             if entries:
-                self.fetch(entries[next(self.turns) % len(entries)])
+                self.fetch(entries[next(self.counter) % len(entries)])
 
     def fetch(self, entry):
-        """Make one call."""
+        """Send one request; record an error or a failed answer."""
         try:
             answer = call(entry.port, "GET", "/services/portal/d", b"", AUTHORISED)
         except ConnectionRefusedError:
-            # No byte left: a balancer sends it to the next instance.
+            # Nothing was sent, so a balancer would try the next instance.
             return
         except (OSError, EOFError) as exc:
-            self.harmed.append(repr(exc))
+            self.failures.append(repr(exc))
             return
         self.served += answer.status == 200
         if answer.status != 200 and answer.json().get("outcome") != "not_run":
-            self.harmed.append(answer.raw)
+            self.failures.append(answer.raw)
 
     def stop(self):
-        """End the callers."""
-        self.over.set()
+        """Stop the callers and wait for them."""
+        self.stopped.set()
         for thread in self.threads:
             thread.join()
 
 
 def is_ready(entry):
-    """Tell whether a balancer would send to an instance."""
+    """Return whether an instance runs and reports that it is ready."""
     if entry.popen.poll() is not None:
         return False
     try:
@@ -203,35 +203,35 @@
 
 
 def start_load(play, count):
-    """Start callers and wait until they are served."""
+    """Start callers and wait until ``count`` answers were received."""
     play.load = Load(play)
     play.load.start(int(count))
     poll(lambda: play.load.served >= int(count))
 
 
 def expect_load(play):
-    """Expect that the callers went on being served and none was harmed."""
+    """Expect further answers to the callers and no failures."""
     served = play.load.served
     poll(lambda: play.load.served > served + len(play.load.threads))
     play.load.stop()
-    assert not play.load.harmed, play.load.harmed
+    assert not play.load.failures, play.load.failures
 
 
 STEPS = {
     "expect_revision": expect_revision,
     "expect_no_reversal": expect_no_reversal,
     "operator": start_operator,
-    "expect_operator": expect_operator(DONE),
-    "expect_operator_typed": expect_operator(DONE, CONFLICT),
+    "expect_operator": expect_operator(EXIT_DONE),
+    "expect_operator_typed": expect_operator(EXIT_DONE, EXIT_CONFLICT),
     "expect_stored": expect_stored,
-    "expect_everywhere": expect_everywhere,
-    "reclaim_centre": reclaim_centre,
+    "expect_everywhere": expect_revision_on_all,
+    "reclaim_centre": reclaim_data_centre,
     "reclaim_engines": reclaim_engines,
-    "take_engines": take_engines,
-    "expect_centre_leaving": expect_centre_leaving,
-    "when_over": wait_until_over,
+    "take_engines": kill_reclaimed_engines,
+    "expect_centre_leaving": expect_data_centre_leaving,
+    "when_over": wait_until_reclaimed,
     "kill_engines": kill_engines,
-    "expect_no_work": expect_no_work,
+    "expect_no_work": expect_no_new_attempts,
     "load": start_load,
     "expect_load": expect_load,
 }
--- a/tests/procs.py
+++ b/tests/procs.py
@@ -1,4 +1,4 @@
-"""Processes of a test, and a blocking HTTP caller that shows the bytes."""
+"""Start processes for tests, and call them with a blocking HTTP client."""
 
 import http.client
 import json
@@ -23,7 +23,7 @@
 
 
 def poll(check, timeout=10.0):
-    """Return the first truthy ``check()``; AssertionError when none comes in time."""
+    """Return the first truthy ``check()``; raise AssertionError after the timeout."""
     deadline = time.monotonic() + timeout
     while not (found := check()):
         if time.monotonic() > deadline:
@@ -33,7 +33,7 @@
 
 
 def call_json(port, method, path, body=None, headers=()):
-    """Make one call and return its status and JSON body, or None without one."""
+    """Send one request; return status and JSON body, None for an empty body."""
     conn = http.client.HTTPConnection(HOST, port, timeout=CALL_TIMEOUT)
     try:
         data = None if body is None else json.dumps(body)
@@ -46,10 +46,10 @@
 
 
 class Process:
-    """A child process that printed its first line as JSON."""
+    """A child process that prints a line of JSON when it is ready."""
 
     def __init__(self, argv, env=None):
-        # Files, as a pipe that no one reads would block a child that logs much.
+        # Files, because a full pipe that is not read would block the child.
         self.stdout = tempfile.TemporaryFile("w+")
         self.stderr = tempfile.TemporaryFile("w+")
         paths = {"PYTHONPATH": f"{ROOT / 'src'}:{ROOT}"}
@@ -63,13 +63,13 @@
         self.info = {}
 
     def wait_ready(self):
-        """Wait for the JSON line."""
+        """Wait for the JSON line and return the process."""
         line = poll(self.read_line, START_TIMEOUT)
         self.info = json.loads(line)
         return self
 
     def read_line(self):
-        """Return the first whole line of output; AssertionError once it ended."""
+        """Return the first line, or None; AssertionError if the process ended."""
         line = read_file(self.stdout).partition("\n")
         if not line[1] and self.popen.poll() is not None:
             code = self.popen.returncode
@@ -78,34 +78,34 @@
 
     @property
     def port(self):
-        """Return the port that the line names."""
+        """Return the port from the JSON line."""
         return self.info["port"]
 
     @property
     def control(self):
-        """Return the port of the control endpoint."""
+        """Return the port for control requests."""
         return self.info.get("control", self.port)
 
     def get(self, path):
-        """GET from the control endpoint; return status and JSON body."""
+        """Send GET to the control port; return status and JSON body."""
         return call_json(self.control, "GET", path)
 
     def post(self, path, body):
-        """POST to the control endpoint; return status and JSON body."""
+        """Send POST to the control port; return status and JSON body."""
         return call_json(self.control, "POST", path, body)
 
     def put(self, path, body):
-        """PUT to the control endpoint; return status and JSON body."""
+        """Send PUT to the control port; return status and JSON body."""
         return call_json(self.control, "PUT", path, body)
 
     def fault(self, **switches):
-        """Set fault switches; AssertionError on an unknown one."""
+        """Set faults of a fake by name; AssertionError if one is unknown."""
         status, body = self.post("/-/fault", switches)
         assert status == 200, body
         return body
 
     def record(self):
-        """Return what a stand-in saw and did."""
+        """Return a fake's record of its requests."""
         return self.get("/-/record")[1]
 
     def signal(self, number):
@@ -113,25 +113,25 @@
         self.popen.send_signal(number)
 
     def freeze(self):
-        """Stop the process where it is."""
+        """Suspend the process with SIGSTOP."""
         self.signal(signal.SIGSTOP)
 
     def resume(self):
-        """Let a frozen process go on, unaware."""
+        """Resume a frozen process with SIGCONT."""
         self.signal(signal.SIGCONT)
 
     def kill(self):
-        """End the process at once."""
+        """Kill the process with SIGKILL."""
         self.popen.kill()
         self.popen.wait(STOP_TIMEOUT)
 
     def terminate(self):
-        """Ask the process to end; return its exit code."""
+        """Send SIGTERM and return the exit code."""
         self.popen.terminate()
         return self.popen.wait(STOP_TIMEOUT)
 
     def close(self):
-        """End the process, gracefully if it will, and close its files."""
+        """Terminate the process, or kill it after a timeout; close its files."""
         if self.popen.poll() is None:
             self.resume()
             try:
@@ -143,12 +143,12 @@
 
 
 def read_file(file):
-    """Return all that a child has written, and leave its offset alone."""
+    """Return the file's content without moving the offset that a child writes at."""
     return os.pread(file.fileno(), 1 << 24, 0).decode(errors="replace")
 
 
 class Processes:
-    """All processes of a test; ``close`` in ``tearDown`` ends them."""
+    """All processes of a test; ``close`` ends them."""
 
     def __init__(self):
         self.started = []
@@ -158,13 +158,13 @@
         return self.run(argv, env).wait_ready()
 
     def run(self, argv, env=None):
-        """Start a process that needn't print a JSON line."""
+        """Start a process without waiting for a JSON line."""
         process = Process(argv, env)
         self.started.append(process)
         return process
 
     def start_fake(self, role, *options):
-        """Start a stand-in on a free port."""
+        """Start a fake on a free port."""
         return self.start(
             [sys.executable, "-m", "tests.fakes", role, "--port", "0", *options]
         )
@@ -181,11 +181,11 @@
 
 
 class NotHttp(Exception):
-    """The other end sent bytes that are no HTTP answer."""
+    """The received bytes are not an HTTP response."""
 
 
 class Answer(NamedTuple):
-    """An HTTP answer; ``whole`` tells whether its framing came to its end."""
+    """An HTTP answer; ``whole`` is true if its body was received to the end."""
 
     status: int
     headers: dict[str, str]
@@ -195,7 +195,7 @@
     whole: bool
 
     def json(self):
-        """Return the body's JSON."""
+        """Return the body, decoded from JSON."""
         return json.loads(self.body)
 
     def events(self):
@@ -205,7 +205,7 @@
 
 
 class Caller:
-    """One connection; reads no more than asked for, so that a test can be slow."""
+    """One connection; it reads only on request, so that tests can read slowly."""
 
     def __init__(self, port, timeout=CALL_TIMEOUT):
         self.sock = socket.create_connection((HOST, port), timeout)
@@ -219,15 +219,15 @@
         self.close()
 
     def close(self):
-        """Leave."""
+        """Close the connection."""
         self.sock.close()
 
     def send(self, data):
-        """Send bytes as they are."""
+        """Send bytes."""
         self.sock.sendall(data)
 
     def request(self, method, path, body=b"", headers=()):
-        """Send one request; a body that isn't bytes goes as JSON."""
+        """Send one request; encode a body that isn't bytes as JSON."""
         if not isinstance(body, bytes):
             body = json.dumps(body).encode()
         lines = [f"{method} {path} HTTP/1.1", f"Host: {HOST}"]
@@ -236,7 +236,7 @@
         self.send("\r\n".join(lines).encode() + body)
 
     def fill(self):
-        """Read more bytes; EOFError when the other end closed or reset."""
+        """Read more bytes; raise EOFError if the connection was closed or reset."""
         try:
             data = self.sock.recv(CHUNK)
         except ConnectionError as exc:
@@ -247,21 +247,21 @@
         self.raw += data
 
     def read_until(self, mark):
-        """Return the bytes before the mark and pass over it."""
+        """Return the bytes before the mark and skip the mark."""
         while mark not in self.buffer:
             self.fill()
         found, _, self.buffer = self.buffer.partition(mark)
         return found
 
     def read_bytes(self, count):
-        """Return so many bytes."""
+        """Return ``count`` bytes."""
         while len(self.buffer) < count:
             self.fill()
         found, self.buffer = self.buffer[:count], self.buffer[count:]
         return found
 
     def read_head(self):
-        """Return status and headers, the names in lower case."""
+        """Return status and headers, with names in lower case."""
         first, *lines = self.read_until(b"\r\n\r\n").decode("latin-1").split("\r\n")
         pairs = (line.partition(":") for line in lines)
         headers = {name.lower(): value.strip() for name, _, value in pairs}
@@ -277,7 +277,7 @@
         return chunk
 
     def read_answer(self):
-        """Read one answer, as much as comes of its body; EOFError without a head."""
+        """Read one answer, perhaps with a partial body; EOFError without a head."""
         self.raw = self.buffer
         status, headers = self.read_head()
         chunks, whole = [], status in BODILESS
@@ -300,6 +300,6 @@
 
 
 def call(port, method, path, body=b"", headers=()):
-    """Make one call on a connection of its own."""
+    """Send one request on a new connection and return the answer."""
     with Caller(port) as caller:
         return caller.call(method, path, body, headers)
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -1,4 +1,4 @@
-"""Tests of what must always hold, on real processes under failure."""
+"""Run each live scenario as a test case."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 def make_class(path):
-    """Return a test case of its own for a scenario, so that it runs beside others."""
+    """Return a test case for one scenario; separate classes can run in parallel."""
 
     def test_scenario(self):
         live.run(path.read_text())
