--- a/src/chervilwing/dispatch.py
+++ b/src/chervilwing/dispatch.py
@@ -88,7 +88,7 @@
         self.update_listed(listed)
 
     def update_listed(self, rows):
-        """Add the upstreams of the instance list; ``rows`` maps names to them."""
+        """Apply the instance list; ``rows`` maps upstream names to their entries."""
         if self.directory is None or rows == self.listed:
             return
         self.listed = rows
--- a/src/chervilwing/drain.py
+++ b/src/chervilwing/drain.py
@@ -73,7 +73,7 @@
         over to peers.
         """
         # The outcome of a keyed call is stored shortly after its answer. If the process
-        # ended between the two, the outcome would stay unknown for ever.
+        # ended between the two, the outcome would stay unknown.
         busy = self._dispatch.sessions or not self._claimant.is_idle()
         if self._web.count() or busy:
             return False
--- a/src/chervilwing/loads.py
+++ b/src/chervilwing/loads.py
@@ -54,9 +54,9 @@
         timeout = self._cfg.connect_timeout
         call = Call(upstream.address, "GET", path, {}, b"", timeout, timeout)
         handle = partial(self._handle_load, upstream.name)
-        # A broken connection doesn't mark the upstream as down: it may just have
-        # answered on a new one, and a pool with one upstream would refuse all waiting
-        # requests.
+        # If only old connections failed, the upstream isn't marked as down: it may just
+        # have answered on a new one. A pool with a single upstream would otherwise
+        # refuse all waiting requests.
         self._client.submit(call, collect_json(handle, path_lost=lambda: None))
 
     def _handle_load(self, name, status, value):
--- a/src/chervilwing/reconnects.py
+++ b/src/chervilwing/reconnects.py
@@ -52,11 +52,11 @@
         self.last_index = last_index
         # Starts the request as a new one.
         self.begin = begin
-        self.gone = False
+        self.disconnected = False
 
     def leave(self):
         """Record that the caller has disconnected again."""
-        self.gone = True
+        self.disconnected = True
 
 
 class Reconnects(BaseComponent):
@@ -210,7 +210,7 @@
     def _finish_search(self, search):
         """Serve a reconnect after its search."""
         pending = self._pending.pop(search)
-        if pending.gone:
+        if pending.disconnected:
             return
         pending.exchange.tag = None
         self._dispatch.serve(
