--- a/src/chervilwing/allowances.py
+++ b/src/chervilwing/allowances.py
@@ -27,8 +27,8 @@
 # leader of 24 instances answers 80 claims a second, 1 % of a small instance's core.
 CLAIM_INTERVAL = 0.3
 # Seconds without a message after which a parent or child counts as lost. Two claims in
-# a row are hardly ever lost by chance. The bound on spending grows by the rate times
-# this.
+# a row are hardly ever lost by chance. The bound on spending grows by what the rate
+# accrues in this time.
 PEER_TIMEOUT = 0.8
 # Seconds between two updates of all buckets; the credit of so short a time is
 # negligible.
@@ -42,17 +42,18 @@
 RESERVE_FRACTION = 0.25
 # An instance returns credit beyond this multiple of its reserve.
 SPARE_RATIO = 1.5
-# Fraction of its capacity from which a bucket counts as full, as other instances hold
-# part of the credit in reserve.
+# A bucket counts as full from this fraction of its capacity, because other instances
+# hold part of the credit in reserve.
 FULL_FRACTION = 0.65
-# Seconds of the rate that are held in addition to the burst, because that much is
-# always in transit between instances: accrued credit is returned after CLAIM_INTERVAL,
-# through two instances. A customer whose requests are nearly as large as its burst
-# would otherwise hardly ever have enough credit at one instance.
+# An instance with children and no parent may hold the burst plus what accrues in this
+# many seconds, because about that much credit is always in transit between instances:
+# accrued credit is returned after CLAIM_INTERVAL, through two instances. A customer
+# whose requests are nearly as large as its burst would otherwise hardly ever have
+# enough credit at one instance.
 IN_TRANSIT_SECONDS = 2 * CLAIM_INTERVAL
 # Seconds of an instance's share that a single request may overdraw where there is no
 # parent to ask. Without it, an instance that is cut off would never serve a long
-# prompt. The bound on spending grows by the rate times this.
+# prompt. The bound on spending grows by what the rate accrues in this time.
 OVERDRAFT_SECONDS = 1.5
 # Half-life, in seconds, of recorded use; at a steady rate the decayed sum equals 1.44
 # seconds of use.
@@ -294,7 +295,7 @@
 
     @property
     def lacks_credit(self):
-        """Return whether a child wants credit that is not available here."""
+        """Return whether a child wants more credit than was granted to it."""
         return any(self._list_child_wants(name) for name in self._buckets)
 
     def _find_bucket(self, item):
@@ -313,8 +314,8 @@
             amount = max(0, min(wanted, int(bucket.level)))
             if self._may_overdraw(bucket, wanted):
                 amount = wanted
-            # Less than a request needs would lie idle here until it is returned, while
-            # others lack it.
+            # Credit that is too little for a request would lie idle at the child until
+            # it is returned, while other instances lack it.
             if amount >= minimum:
                 bucket.level -= amount
                 bucket.use += amount
@@ -326,9 +327,9 @@
 
         Only an instance without an answering parent may overdraw; its bucket is full
         again only after the time in which such a cost accrues. If its subtree has more
-        than half of all instances, which holds for one at most, it may pay any cost:
-        one request exceeds the bound. Otherwise it may pay what its share accrues in
-        OVERDRAFT_SECONDS.
+        than half of all instances, which is true of at most one instance, it may pay
+        any cost; a single request then exceeds the bound. Otherwise the cost may exceed
+        the capacity by what its share of the rate accrues in OVERDRAFT_SECONDS.
         """
         share = self._compute_share()
         capacity = bucket.burst * share
@@ -342,8 +343,8 @@
     def _make_entry(self, name):
         """Return the Entry of an allowance, after returning credit that is not needed.
 
-        Credit is returned only to a parent that has answered in this session: another
-        process that starts under its name could count it twice.
+        Credit is returned only to a parent that has answered in this session: a new
+        process under the parent's name could otherwise count it twice.
         """
         bucket, session = self._buckets[name], self._session
         reserve = bucket.compute_reserve()
--- a/src/chervilwing/clocks.py
+++ b/src/chervilwing/clocks.py
@@ -23,8 +23,8 @@
 class AgreedTime:
     """The time of day as the median of all instances' clocks.
 
-    If the time of day of some instances jumps by seconds, usage counted by such a clock
-    would fall into a wrong window; the median doesn't follow a minority.
+    If an instance's time of day jumps by seconds, usage counted by its clock would fall
+    into a wrong window; a minority of such clocks hardly moves the median.
     """
 
     def __init__(self):
--- a/src/chervilwing/coordination.py
+++ b/src/chervilwing/coordination.py
@@ -20,7 +20,7 @@
 from .store_calls import Committed
 from .stored_crashes import CRASHES, decode_crash
 
-# Keys of the product itself: running instances, and the holder of the duties.
+# Store keys that the instances write: running instances, and the holder of the duties.
 INSTANCES = "chervilwing/instances/"
 DUTIES = "chervilwing/instances-duties"
 # Seconds that a watch waits. Each reply proves how fresh the knowledge is, also for the
@@ -29,27 +29,27 @@
 REGISTRATIONS_WAIT = 0.4
 INSTANCES_WAIT = 4.0
 # Seconds after a change of the instances until the next call. When dozens of instances
-# start within a second, each would otherwise wake every watch. Other instances keep
-# querying one that is gone for a second in any case.
+# start within a second, each would otherwise wake every watch. An instance that has
+# gone is queried for about another second in any case.
 INSTANCES_SPACING = 0.5
 # Seconds after a change of the registrations until the next call. A reclaim wave takes
 # a whole data centre's upstreams; each change would wake every instance, and every call
 # is charged for and counted. A leaving upstream still serves for two seconds, so that a
 # quarter of a second does no harm.
 REGISTRATIONS_SPACING = 0.25
-# Seconds for which an instance that is gone counts as recent: a window of usage and the
-# time until it is reported.
+# Seconds for which an instance that is gone still counts as recently registered: the
+# length of a usage window plus the time until that window is reported.
 RECENT_SECONDS = 10.0
 # Fraction of the bound on keys up to which knowledge of them is trusted. Its age counts
 # from the sending of a watch, which already covers the second by which the store's
-# watches may be late; the rest covers the drift of two clocks. In an outage of the
-# store, each second less would refuse every caller with a key a second sooner.
+# watches may be late; the rest covers the drift of two clocks. With a smaller fraction,
+# all callers with keys would be refused sooner in an outage of the store.
 TRUSTED_FRACTION = 0.95
 # Seconds up to which knowledge of registrations counts as fresh.
 MAX_REGISTRATIONS_AGE = 2.0
-# Number of followed prefixes, the first ones, that must be fresh: the configuration and
-# the registrations. Knowledge of other instances may be older.
-FRESH_PREFIXES = 2
+# The first followed prefixes, this many, must be fresh: the configuration and the
+# registrations. Knowledge of other instances may be older.
+FRESH_PREFIX_COUNT = 2
 
 
 class Peer(NamedTuple):
@@ -94,7 +94,7 @@
 
 
 class Coordinator(BaseComponent):
-    """Follow the configuration, the registrations and the other instances."""
+    """Follow the store; keep this instance's registration and its claim to duties."""
 
     channel = "coordination"
 
@@ -187,7 +187,7 @@
 
     def compute_age(self, news):
         """Return the greatest age in seconds among the prefixes that must be fresh."""
-        fresh = news[:FRESH_PREFIXES]
+        fresh = news[:FRESH_PREFIX_COUNT]
         return max(float("inf") if item is None else item.age for item in fresh)
 
     def apply_news(self, news, queried_at, now):
@@ -225,7 +225,8 @@
         self._set_watch_wait()
         lost = [mirror for mirror, _ in self._followed if mirror.lost_since]
         for mirror, apply in self._followed:
-            # One call detects the store's return; three would be charged for.
+            # While the store is lost, only one prefix is tried: one call suffices to
+            # detect its return, and every call is charged for.
             call = None if mirror in lost[1:] else mirror.next_call(now)
             if call is not None:
                 self._store.submit(
--- a/src/chervilwing/credit.py
+++ b/src/chervilwing/credit.py
@@ -1,4 +1,4 @@
-"""Credit that instances pass to each other: what a child returns and a parent grants.
+"""Credit that instances pass to each other: a child returns it, a parent grants it.
 
 Two instances that pass credit have a *session*: the child claims, the parent grants.
 Both directions carry totals since the session began, so that a datagram that is lost,
@@ -13,9 +13,9 @@
     """A child's figures for one allowance.
 
     ``returned`` and ``granted`` are the totals that the child has returned and received
-    since the session began. ``balance`` is what it and its own children hold now,
-    ``wanted`` what it could use in addition, and ``minimum`` what the smallest waiting
-    request needs, 0 where none waits.
+    since the session began. ``balance`` is the credit that it and its own children hold
+    now, ``wanted`` the credit that it could use in addition, and ``minimum`` the part
+    of it that the smallest waiting request needs, 0 where no request waits.
     """
 
     returned: int
@@ -28,7 +28,8 @@
 class Claim(NamedTuple):
     """A child's claim to its parent; ``number`` grows with each claim of a session.
 
-    ``parent`` is the incarnation of the parent that answered first, 0 until it has.
+    ``parent`` is the incarnation of the parent that first answered in this session, 0
+    before any answer.
     ``instances`` counts the instances in the child's subtree, itself included.
     """
 
@@ -43,8 +44,8 @@
 class Grant(NamedTuple):
     """A parent's answer: totals granted since the session began, by allowance.
 
-    ``session_known`` is false where the parent doesn't know the session, which must
-    start anew.
+    ``session_known`` is false where the parent doesn't know the session; the child must
+    then open a new one.
     """
 
     session: int
--- a/src/chervilwing/credit_exchange.py
+++ b/src/chervilwing/credit_exchange.py
@@ -14,8 +14,8 @@
 GRANT = 4
 PROBE = 5
 PROBE_ANSWER = 6
-# Minimum seconds between two claims, when requests wait for credit: each request of a
-# customer far over its limit would otherwise cause two datagrams.
+# Minimum seconds between two claims. Without it, each request of a customer far over
+# its limit would cause two datagrams.
 MIN_CLAIM_INTERVAL = 0.02
 # Seconds between two claims while requests wait, as a datagram may be lost.
 WAITING_CLAIM_INTERVAL = 0.05
@@ -36,7 +36,7 @@
         self._allowances = gateway.allowances
         self._limits = gateway.upstream_limits
         self._choice = ParentChoice()
-        self._group_names, self._all_names = [], []
+        self._group_candidates, self._all_candidates = [], []
         self._peers_version = None
         self._claimed_at = float("-inf")
         self._lacks_credit = False
@@ -53,25 +53,29 @@
         self._limits.expire(self._gateway.registry.upstreams, now)
         self._rank()
         before = self._choice.parent
-        parent = self._choice.choose(self._group_names, self._all_names, now)
+        parent = self._choice.choose(self._group_candidates, self._all_candidates, now)
         if parent != before:
             log_event("credit parent", parent=parent or "", was=before or "")
-        for name in self._choice.list_probes(self._group_names, self._all_names, now):
+        for name in self._choice.list_probes(
+            self._group_candidates, self._all_candidates, now
+        ):
             self._send(name, PROBE, (self._name,))
         self._grant_waiting()
         if now - self._claimed_at >= self._choose_interval():
             self._claim(now)
 
     def _rank(self):
-        """Rank the instances before this one again after some have joined or left."""
+        """Update the parent candidates, the instances that rank before this one."""
         if self._peers_version == self._coordinator.peers_version:
             return
         self._peers_version = self._coordinator.peers_version
         group = set(self._report_exchange.list_group())
         names = [self._name, *self._coordinator.peers]
         names = rank_leaders(names, self._coordinator.list_links())
-        self._all_names = names[: names.index(self._name)]
-        self._group_names = [name for name in self._all_names if name in group]
+        self._all_candidates = names[: names.index(self._name)]
+        self._group_candidates = [
+            name for name in self._all_candidates if name in group
+        ]
 
     def _choose_interval(self):
         """Return the seconds to leave between two claims."""
--- a/src/chervilwing/credit_parents.py
+++ b/src/chervilwing/credit_parents.py
@@ -1,8 +1,9 @@
 """An instance's choice of the parent from which it claims credit.
 
 Instances of a group claim from the first of the group, and the first ones of the groups
-from the first of all. Each instance finds its parent alone, from the answers that it
-gets; two that disagree for a moment pass each other less credit, with no other effect.
+from the first of all. Each instance chooses its parent by itself, from the answers that
+it gets. If two instances disagree for a moment, less credit passes between them; there
+is no other effect.
 """
 
 # Seconds between two claims to a parent that hasn't answered the last one, and seconds
@@ -11,7 +12,8 @@
 # own accrual.
 CLAIM_RETRY_INTERVAL = 0.1
 PARENT_TIMEOUT = 0.35
-# Seconds for which an answer to a probe counts, and between two probes of one instance.
+# Seconds after its answer to a probe for which an instance counts as alive, and seconds
+# between two probes of one instance.
 PROBE_ANSWER_LIFETIME = 1.5
 PROBE_INTERVAL = 1.0
 # Probes that an instance without a parent sends at a time, longest unprobed instances
@@ -34,11 +36,11 @@
         # When the parent was sent the first claim that it hasn't answered, or None.
         self._unanswered_since = None
 
-    def choose(self, group_names, all_names, now):
+    def choose(self, group_candidates, all_candidates, now):
         """Return the first instance that answers, or None where none does.
 
-        The instances before this one are ranked in ``group_names`` and ``all_names``;
-        those of its group come first.
+        ``all_candidates`` are the instances that rank before this one, in rank order;
+        ``group_candidates`` are those of its group, which are preferred.
         """
         if (
             self._unanswered_since is not None
@@ -48,15 +50,16 @@
             self._probed[self.parent] = now
         alive = {name for name in self._answered if self._is_alive(name, now)}
         found = next(
-            (name for name in (*group_names, *all_names) if name in alive), None
+            (name for name in (*group_candidates, *all_candidates) if name in alive),
+            None,
         )
         if found != self.parent:
             self.parent, self._unanswered_since = found, None
         return found
 
-    def list_probes(self, group_names, all_names, now):
+    def list_probes(self, group_candidates, all_candidates, now):
         """Return the names of instances to probe, which would be better parents."""
-        names = list(dict.fromkeys((*group_names, *all_names)))
+        names = list(dict.fromkeys((*group_candidates, *all_candidates)))
         limit = MAX_PROBES
         if self.parent in names:
             names = names[: names.index(self.parent)]
--- a/src/chervilwing/duty_calls.py
+++ b/src/chervilwing/duty_calls.py
@@ -14,7 +14,7 @@
 
 
 class OrderInstances(NamedTuple):
-    """Order ``count`` instances of one kind for a pool in a data centre."""
+    """Order ``count`` machines, reclaimable or not, for a pool in a data centre."""
 
     pool: str
     data_centre: str
@@ -30,7 +30,7 @@
 
 
 class Denied(NamedTuple):
-    """The platform has no such instances at present."""
+    """The platform has no such machines at present."""
 
     text: str
 
--- a/src/chervilwing/duty_leases.py
+++ b/src/chervilwing/duty_leases.py
@@ -1,7 +1,7 @@
-"""The hold of a duty: one instance at a time, by a lease and a fencing number.
+"""Holding the duties, such as ordering machines, by one instance at a time.
 
 The holder creates one key under its lease. The key's revision is the fencing number:
-revisions of the store only grow, so every later holder has a higher one.
+revisions of the store only grow, so every later holder has a higher number.
 """
 
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 )
 
 # Fractions of the lease after which it is renewed, and after which its holder no longer
-# acts on it: the rest covers a call in transit and the drift of two clocks.
+# relies on it: the rest covers a call in transit and the drift of two clocks.
 RENEW_FRACTION = 0.3
 TRUST_FRACTION = 0.7
 # Mean seconds between two tries after a failure, randomised so that instances don't
@@ -36,10 +36,10 @@
 class DutyLease:
     """State of one instance's claim to a duty; times are seconds on one clock.
 
-    The same lease carries the instance's own record. ``claim_delay`` is for how many
-    seconds this instance leaves a vacant duty to others. When a holder ends, hundreds
-    of instances see it at once; if each claimed the duty, all writes but one would be
-    in vain.
+    The instance's own record is stored under the same lease. This instance claims a
+    vacant duty only after ``claim_delay`` seconds. When a holder ends, hundreds of
+    instances see it at once; if each claimed the duty, all writes but one would be in
+    vain.
 
     The clock must include suspended time: otherwise a resumed holder would act under a
     lease that lapsed during the suspension.
--- a/src/chervilwing/instance_orders.py
+++ b/src/chervilwing/instance_orders.py
@@ -1,4 +1,4 @@
-"""Order instances by measured work, while this instance holds the duties."""
+"""Order machines for upstreams by measured work, while holding the duties."""
 
 import time
 
@@ -14,7 +14,7 @@
 
 
 class InstanceOrders(BaseComponent):
-    """Order instances for the pools that have a fleet, one order at a time."""
+    """Order machines for the pools that have a fleet, one order at a time."""
 
     channel = "instance-orders"
 
@@ -42,8 +42,8 @@
                 sizing.reset_orders()
         if fence is None or self._order_pending or now < self._retry_at:
             return
-        # Registrations are unknown before; all instances would be ordered a second
-        # time.
+        # Before this instance is ready, it doesn't know the registered upstreams and
+        # would order all machines a second time.
         if self._coordinator.ready:
             self._order_next(now)
 
--- a/src/chervilwing/instance_reports.py
+++ b/src/chervilwing/instance_reports.py
@@ -1,8 +1,8 @@
-"""Sums of what instances have worked and have in flight, computed by each leader.
+"""Sums of the instances' work and requests in flight, computed by each leader.
 
 Each instance reports totals since its start, so that a lost or duplicated report
-changes nothing. Leaders add the reports up, so all figures reach every instance in as
-many messages as there are instances; direct exchange would take the square of it.
+changes nothing. Leaders add the reports up, so the number of messages grows with the
+number of instances; if each reported to all others, it would grow with its square.
 """
 
 from types import MappingProxyType
@@ -16,8 +16,8 @@
 # Seconds between two sums of all loads: a leader receives dozens of queries a second,
 # and need not add up the same reports for each of them.
 SUM_INTERVAL = 0.1
-# Seconds for which a report counts: three reports in a row are hardly ever lost by
-# chance.
+# Seconds after its last report for which an instance counts as alive: three reports in
+# a row are hardly ever lost by chance.
 REPORT_TIMEOUT = 1.5
 
 
@@ -30,7 +30,8 @@
     ``work`` is engine seconds by pool, and ``answers`` the answers of versions in a
     roll-out by name, both since the start of the reporting process. ``in_flight`` is
     the present load by upstream, for each process that chose the upstreams (the
-    placer); an empty name stands for instances that chose themselves.
+    placer); the empty name stands for requests whose upstream the reporting instance
+    chose itself.
     """
 
     instances: int
@@ -61,10 +62,10 @@
 class ReportReply(NamedTuple):
     """One process's reply to a report.
 
-    ``sums`` are None where it leads no group. ``stored`` are the windows of usage for
-    which it stored the reported counts, ``cached_prompts`` the upstreams to which
-    others recently sent long prompts, ``crashes`` what it recently learned of requests
-    that crash upstreams.
+    ``sums`` are None where the process leads no group. ``stored`` are the windows of
+    usage for which it stored the reported counts, ``cached_prompts`` the upstreams to
+    which other instances recently sent long prompts, ``crashes`` what it recently
+    learned of requests that crash upstreams.
     """
 
     name: str
@@ -138,7 +139,7 @@
 
 
 def sum_loads(several):
-    """Return the summed loads by upstream."""
+    """Return the sums of several mappings of load by upstream."""
     total = {}
     for loads in several:
         for name, load in loads.items():
@@ -155,7 +156,7 @@
 
 
 def subtract_counts(counts, own):
-    """Return the Counts without the part of the instance whose figures ``own`` are."""
+    """Return the Counts less ``own``, the Counts of one instance."""
     in_flight = {
         placer: subtract_loads(loads, own.in_flight.get(placer, {}))
         for placer, loads in counts.in_flight.items()
@@ -189,14 +190,14 @@
 
     Work grows by the difference between two reports of one process; the first report of
     an unknown process adds nothing. If a report comes more than REPORT_TIMEOUT after
-    the last one, only the fraction of the difference counts for which the process still
-    counted as alive.
+    the last one, only part of the difference counts: the fraction of the gap in which
+    the process still counted as alive.
 
-    The rest was reported to another leader, whose sums reached all instances. If a
-    leader that leads again after a partition added it, the sums would jump by half a
-    minute of all work, and eleven times the needed instances would be ordered. Ignoring
+    The rest of the work was reported to another leader and is already in the sums. If a
+    leader that returned after a partition added it again, the sums would jump by half a
+    minute of all work, and eleven times the needed machines would be ordered. Ignoring
     late reports altogether would be wrong too: in a burst a small instance reports two
-    seconds late, and too few instances would be ordered when most are needed.
+    seconds late, and too few machines would be ordered when most are needed.
     """
 
     def __init__(self):
@@ -208,7 +209,7 @@
         self._summed_at = float("-inf")
 
     def add_report(self, reporter, incarnation, counts, now):
-        """Apply a process's report; its load counts for REPORT_TIMEOUT."""
+        """Apply a process's report; its load counts for REPORT_TIMEOUT seconds."""
         if reporter in self._last_reports:
             last_incarnation, before = self._last_reports[reporter]
             # A restarted process counts from zero.
@@ -236,18 +237,18 @@
         return self._loads._replace(work=dict(self._work), answers=dict(self._answers))
 
 
-def add_growth(total, before, now, fraction):
-    """Add to ``total`` a fraction of the difference between two reports.
+def add_growth(total, before, after, fraction):
+    """Add to ``total`` a fraction of the growth between two reports' totals.
 
     A reordered older report subtracts what the next report adds again.
     """
-    for name, value in now.items():
+    for name, value in after.items():
         gained = value - before.get(name, 0.0)
         total[name] = total.get(name, 0.0) + gained * fraction
 
 
 class CachedPrompts:
-    """Upstreams to which others recently sent long prompts; times are seconds."""
+    """Upstreams to which long prompts were recently sent; times are seconds."""
 
     def __init__(self):
         self._until = {}
--- a/src/chervilwing/leader_queries.py
+++ b/src/chervilwing/leader_queries.py
@@ -2,9 +2,9 @@
 
 A group consists of instances of one data centre. The first of them that is alive leads:
 it watches the store, and the others query it a few times a second by single datagrams
-that also report what they spend and have in flight. A reply states the age of its
-knowledge, counted from the call on the store that proved it, so that a follower's
-knowledge is as well proved as by a call of its own.
+that also report their work and load. A reply states the age of its knowledge of the
+store, counted from the store call that returned it. A follower therefore knows how old
+its own knowledge is, as if it had called the store itself.
 """
 
 from math import ceil
@@ -21,7 +21,7 @@
 MIN_QUERY_INTERVAL = 0.2
 # Queries a second that a leader answers to its group: 0.5 % of a core.
 QUERIES_PER_SECOND = 60.0
-# Maximum number of instances in a group, so that each may query at these intervals.
+# Maximum number of instances in a group, so that each may query every QUERY_INTERVAL.
 MAX_GROUP_SIZE = 24
 # Seconds to wait for a reply: a round trip takes 3 ms, a small instance's event loop up
 # to 50 ms.
@@ -31,22 +31,22 @@
 MAX_MISSES = 2
 # Seconds for which an instance that failed isn't queried again.
 AVOID_SECONDS = 3.0
-# Seconds by which knowledge from a reply must be younger than the bound within which a
-# change must be applied. The next query then detects a leader that lost the store, and
-# 0.3 s remain to query the store and apply its answer.
+# A reply's knowledge counts as fresh only if it is younger, by this many seconds, than
+# the bound within which a change must be applied. If a leader loses the store, the next
+# query detects it, and 0.3 s remain to query the store and apply its answer.
 REACTION_TIME = QUERY_INTERVAL + 0.3
-# Oldest knowledge, in seconds, that a reply may bring under the shortest bound, 2 s. A
-# watch of 0.4 s proves what is up to 0.8 s old; a query to a follower adds
-# QUERY_INTERVAL.
+# Maximum age, in seconds, of fresh knowledge under the shortest bound, 2 s. With a
+# watch of 0.4 s, a leader's knowledge is up to 0.8 s old; the time between a follower's
+# queries adds QUERY_INTERVAL.
 MAX_FRESH_AGE = 2.0 - REACTION_TIME
 # Number of leaders that watch the store, where the bounds leave time for the other
 # leaders to query them. With hundreds of instances in ten groups, ten watching leaders
 # would make 65 calls a second, all charged for; two make 13, whatever the number of
 # groups, and one of the two may fail.
 MAX_WATCHERS = 2
-# Maximum age, in seconds, up to which every leader watches the store itself: a watch
-# proves what is up to 0.8 s old, and the queries of a leader and its follower add
-# QUERY_INTERVAL each.
+# If knowledge older than this many seconds doesn't count as fresh, every leader watches
+# the store itself: a watching leader's knowledge is up to 0.8 s old, and the queries of
+# another leader and of that leader's follower add QUERY_INTERVAL each.
 ALL_LEADERS_WATCH_AGE = 0.8 + 2 * QUERY_INTERVAL
 # Mbit/s of a machine's link above which a faster link ranks no higher: a leader sends
 # its group some 5 Mbit/s in bursts.
@@ -65,10 +65,10 @@
 def rank_leaders(names, links=NO_LINKS):
     """Return the names in the order in which they lead, the same at all instances.
 
-    ``links`` are the Mbit/s of the machines' links. In bursts callers fill the link of
-    a small machine. If a leader ran there, its replies would be lost, and its group
-    would look for another leader and decide alone for half a second; of 67 instances 20
-    to 60 did so each second.
+    ``links`` are the Mbit/s of the machines' links. In a burst, callers saturate the
+    link of a small machine. If a leader ran there, its replies would be lost, and for
+    half a second the instances of its group would choose upstreams without each other's
+    loads, until they found another leader; of 67 instances 20 to 60 did so each second.
     """
     link_rates = {name: min(AMPLE_LINK_RATE, links.get(name, 0.0)) for name in names}
     return sorted(names, key=lambda name: (-link_rates[name], hash_text(name), name))
@@ -103,7 +103,7 @@
         self._max_age = max_age
         # The instance to query, None where none answers.
         self.target = None
-        # Whether the last reply brought knowledge that is fresh.
+        # Whether the last reply had fresh knowledge of the store.
         self.fresh = False
         self._preferred = None
         self._pending = None
@@ -144,11 +144,11 @@
     def receive(self, number, age, more, now):
         """Apply a reply; return the Query that it answers, or None if it is outdated.
 
-        ``age`` is the age of its knowledge in seconds, ``more`` whether more can be
-        queried for. An instance that lost the store goes on replying with what it knew;
-        its followers would keep a revoked key or an upstream that left. So they query
-        the store themselves while replies aren't ``fresh``; the other figures of a
-        reply don't depend on the store.
+        ``age`` is the age in seconds of the knowledge in the reply, ``more`` whether
+        further changes can be queried for. An instance that lost the store goes on
+        replying with outdated knowledge; its followers would keep a revoked key or an
+        upstream that left. So they query the store themselves while replies aren't
+        ``fresh``; the other figures of a reply don't depend on the store.
         """
         if self._pending is None or self._pending.number != number:
             return None
--- a/src/chervilwing/mirrors.py
+++ b/src/chervilwing/mirrors.py
@@ -38,17 +38,17 @@
 
 
 class News(NamedTuple):
-    """What one instance reports to another of a prefix; ages are in seconds.
+    """One instance's report of a prefix to another; ages are in seconds.
 
     ``items`` are all changes after the requested revision up to ``revision``, or None
     where they are unknown or too large. ``more`` is true where later changes were left
-    out. ``regained`` is how long ago the store became reachable again, None where it
-    never was lost. ``keys`` are the keys of all items, where the changes alone don't
-    show which items were deleted.
+    out. ``seconds_since_regained`` is how long ago the store became reachable again,
+    None where it never was lost. ``keys`` are the keys of all items, where the changes
+    alone don't show which items were deleted.
     """
 
     age: float
-    regained: float | None
+    seconds_since_regained: float | None
     revision: int
     items: tuple[Item, ...] | None
     more: bool
@@ -59,13 +59,13 @@
     """State of one prefix; times are seconds on one clock, passed by the caller.
 
     ``as_of`` is when the last answered call was sent: every write that was acknowledged
-    before is known here. The arrival of the reply would be too late a time, as the
-    reply may have been delayed. ``lost_since`` is when calls began to fail, or None,
-    and ``regained_at`` when they last worked again. After a change the next call waits
-    for ``spacing`` seconds, so that changes that come together cost one call. A
+    before that time is included. The arrival of the reply would be too late a time, as
+    the reply may have been delayed. ``lost_since`` is when calls began to fail, or
+    None, and ``regained_at`` when they last worked again. After a change the next call
+    waits for ``spacing`` seconds, so that changes that come together cost one call. A
     ``passive`` mirror makes no calls except to list: another instance sends it the
-    news. ``unreachable`` is true where the last own call had no reply. ``wait`` is how
-    many seconds a watch waits; it may be changed.
+    news. ``unreachable`` is true where the mirror's own last call had no reply.
+    ``wait`` is how many seconds a watch waits; it may be changed.
     """
 
     def __init__(self, prefix, wait, rng, spacing=0.0):
@@ -229,8 +229,10 @@
             return []
         self._must_list = False
         self._listing = None
-        if news.regained is not None:
-            self.regained_at = max(self.regained_at, queried_at - news.regained)
+        if news.seconds_since_regained is not None:
+            self.regained_at = max(
+                self.regained_at, queried_at - news.seconds_since_regained
+            )
         items = news.items
         if news.keys is not None:
             items = [*items, *self._find_deleted(news)]
--- a/src/chervilwing/registrations.py
+++ b/src/chervilwing/registrations.py
@@ -5,9 +5,9 @@
 from .models import Address
 
 # Seconds after the store's return for which lapsed entries are kept. The platform
-# promises that upstreams write them again within about two seconds; what is missing
-# then is gone. Slightly less than 2 s, because an upstream that left at the store's
-# return must get no requests two seconds later.
+# promises that upstreams write them again within about two seconds; an upstream whose
+# entry is still missing then is gone. Slightly less than 2 s, because an upstream that
+# left at the store's return must get no requests two seconds later.
 LAPSE_GRACE = 1.8
 
 
@@ -40,7 +40,7 @@
         self._missing = {}
 
     def add(self, registration):
-        """Apply a new or changed registration; return the one that it ends, or None.
+        """Apply a registration; return the one of a replaced process, or None.
 
         An upstream may restart under its name. Its cached prompts are gone then, and
         requests sent over connections to the previous process would be lost.
@@ -56,9 +56,10 @@
         """Apply the removal of an entry; return whether its upstream is gone now.
 
         While the store is away, entries lapse because living upstreams can't renew
-        them. Such an upstream is kept until LAPSE_GRACE after the store's return: if
-        dropped at once, a whole pool would vanish and every caller be refused. Kept
-        longer, an upstream that really left would still get requests when it ends.
+        them. Such an upstream is kept until LAPSE_GRACE seconds after the store's
+        return. If it were dropped at once, a whole pool would vanish and every caller
+        would be refused; if it were kept longer, an upstream that really left would
+        still get requests when it ends.
         """
         if name not in self.upstreams:
             return False
--- a/src/chervilwing/report_exchange.py
+++ b/src/chervilwing/report_exchange.py
@@ -39,8 +39,9 @@
 # Kinds of datagrams.
 QUERY = 1
 REPLY = 2
-# Seconds by which each rank in a group delays its claim of a vacant duty, and the
-# longest delay: a claim is known to the others after two queries.
+# An instance delays its claim of the vacant duties by this many seconds for each
+# instance that ranks before it in its group, up to the maximum: the other instances
+# learn of a claim after two queries.
 CLAIM_DELAY_STEP = 0.15
 MAX_CLAIM_DELAY = 1.5
 # Seconds for which an instance that queried this one may be queried in turn. The lease
@@ -51,11 +52,11 @@
 FALLBACK = ""
 
 
-def read_news(age, regained, revision, items, more, keys):
+def read_news(age, seconds_since_regained, revision, items, more, keys):
     """Return the News decoded from a datagram."""
     if items is not None:
         items = tuple(Item(*item) for item in items)
-    return News(age, regained, revision, items, more, keys)
+    return News(age, seconds_since_regained, revision, items, more, keys)
 
 
 class ReportExchange(BaseComponent):
@@ -88,8 +89,9 @@
         self._fallback = LeaderQueries(self._max_age)
         # Address and time of the last query from, or fallback reply by, each instance.
         self._queriers = {}
-        # Queries to each other group; used while this instance leads.
-        self._others = {}
+        # Queries to the leaders of the other groups, by group; used while this instance
+        # leads.
+        self._queries_by_group = {}
         self._group_sums, self._other_sums = ReportSums(), ReportSums()
         self._group_cached_prompts, self._other_cached_prompts = (
             CachedPrompts(),
@@ -140,9 +142,10 @@
     def _choose_targets(self, now):
         """Choose whom to query, and whether this instance's own store calls may pause.
 
-        An instance whose leader is cut off from the store queries those before it in
-        rank; the first of these calls the store itself. An instance that can't reach
-        the store itself queries any instance of its group.
+        If the leader is cut off from the store, an instance also queries another one
+        that ranks before it. The second in rank has none to query, so it calls the
+        store itself. An instance that can't reach the store queries any instance of its
+        group.
         """
         names = self._groups[self._group]
         rank_in_group = names.index(self._cfg.name)
@@ -154,7 +157,8 @@
             log_event("leader followed", leader=leader or "", was=before or "")
         if leader is None:
             informed = any(
-                self._others[group].fresh for group in self._list_watching_groups()
+                self._queries_by_group[group].fresh
+                for group in self._list_watching_groups()
             )
         else:
             informed = self._leader.fresh
@@ -168,7 +172,7 @@
     def _query_fallback(self, names, rank_in_group, leader, now):
         """Query a fallback for the state of the store; return whether it is fresh.
 
-        While the store turns a leader away but serves its followers, all two dozen of
+        If the store refuses a leader's calls but serves its followers, all two dozen of
         them would otherwise watch the store themselves, with 150 calls a second.
         """
         if self._coordinator.unreachable:
@@ -183,11 +187,11 @@
         return self._fallback.fresh
 
     def _list_fallbacks(self, names, leader, now):
-        """Return who may know the state of the store: the group, and the queriers.
+        """Return the names that may know the store's state: the group and the queriers.
 
         A leader that is cut off before it learns of instances that started after it
-        knows no peer to query. It would accept a revoked key until it refuses all
-        callers, although a whole group that knows better keeps querying it.
+        knows no peer to query. It would accept a revoked key, and later refuse all
+        callers, although a whole group with fresh knowledge keeps querying it.
         """
         queriers = [
             n for n, (_, at) in self._queriers.items() if now - at <= QUERIER_LIFETIME
@@ -203,14 +207,20 @@
         """Return the groups whose leaders watch the store for this leader."""
         if self._max_age <= ALL_LEADERS_WATCH_AGE:
             return []
-        queried = {g: self._others[g] for g in self._groups if g in self._others}
+        queried = {
+            g: self._queries_by_group[g]
+            for g in self._groups
+            if g in self._queries_by_group
+        }
         targets = {item.target: group for group, item in queried.items() if item.target}
         first = rank_leaders([self._cfg.name, *targets], self._links)[:MAX_WATCHERS]
         return [] if self._cfg.name in first else [targets[name] for name in first]
 
     def _query_others(self, now):
         for group in self._groups.keys() - {self._group}:
-            queries = self._others.setdefault(group, LeaderQueries(self._max_age))
+            queries = self._queries_by_group.setdefault(
+                group, LeaderQueries(self._max_age)
+            )
             if queries.choose(self._groups[group], now) is not None:
                 self._query(group, queries, now)
 
@@ -298,7 +308,7 @@
         self._datagrams.send(REPLY, fields, address)
 
     def _sum_all(self, now):
-        """Return the figures of all instances."""
+        """Return the summed Counts of all instances."""
         return add_counts(
             self._group_sums.compute_sums(now), self._other_sums.compute_sums(now)
         )
@@ -355,10 +365,12 @@
     def _find_queries(self, group):
         if group == FALLBACK:
             return self._fallback
-        return self._leader if group == self._group else self._others.get(group)
+        return (
+            self._leader if group == self._group else self._queries_by_group.get(group)
+        )
 
     def _apply_own_report(self, now):
-        """Apply the figures of all instances, as they were reported to this leader."""
+        """Apply the sums of all other instances' reports at this leader."""
         if now - self._applied_at < SUM_INTERVAL:
             return
         self._applied_at = now
--- a/src/chervilwing/usage.py
+++ b/src/chervilwing/usage.py
@@ -4,8 +4,8 @@
 from collections import Counter
 from typing import NamedTuple
 
-# Windows kept while they can't be written: longer than usual outages of the store. A
-# later report would be useless.
+# Number of windows kept while they can't be written: they span more than the usual
+# outages of the store, and a report after a longer outage would be useless.
 MAX_WINDOWS = 12
 
 
@@ -42,7 +42,7 @@
         self._first = int(now // self.length)
 
     def list_unstored(self, now):
-        """Return the counts that aren't stored yet, by window, up to the present one.
+        """Return the counts that aren't stored yet by window, the present one included.
 
         A window without requests has empty counts, which show that none is missing.
         """
--- a/src/chervilwing/usage_reports.py
+++ b/src/chervilwing/usage_reports.py
@@ -28,9 +28,9 @@
 # last counts have been reported, and clocks differ by less than this.
 WRITE_DELAY = 0.9
 # Seconds after a window's end from which the counts are added up, and after which
-# missing ones are given up. The shorter timeout applies where only instances are
-# missing whose counts were reported to this one. A report is due ten seconds after the
-# end.
+# missing counts are no longer waited for. The shorter timeout applies where all missing
+# counts were at least reported to this instance. A report is due ten seconds after the
+# window's end.
 COLLECT_DELAY = 1.5
 MISSING_TIMEOUT = 6.5
 REPORTED_TIMEOUT = 3.5
@@ -53,7 +53,7 @@
 class UsageParts(BaseComponent):
     """Count requests that run here, and store the counts with those of other instances.
 
-    ``stores`` returns whether this instance stores; otherwise it only reports its
+    ``is_storing`` returns whether this instance stores; otherwise it only reports its
     counts to another one that does.
     """
 
@@ -65,10 +65,11 @@
         self.is_storing = lambda: True
         self._store = store
         self._agreed_time = agreed_time
-        # A process's counts never replace those of the previous process.
+        # The name includes the incarnation, so that a restarted instance doesn't
+        # overwrite the counts of its previous process.
         self._process = name_process(cfg.name, cfg.incarnation)
-        # Counts of the instances for which this one stores, itself included, and of
-        # others.
+        # Counts of this instance's group, which this instance may store, and counts of
+        # other groups.
         self._group_counts = ReceivedCounts()
         self._other_counts = ReceivedCounts()
         self._stored = {}
@@ -113,7 +114,7 @@
         )
 
     def count_reported(self):
-        """Return the number of requests counted here or reported to this instance."""
+        """Return the number of requests counted in the windows kept for the group."""
         return self._group_counts.count()
 
     def is_idle(self):
@@ -277,8 +278,9 @@
         missing = self._coordinator.list_recent_instances() - list_instance_names(
             stored
         )
-        # An instance that reported may still store its last counts; one that didn't may
-        # return.
+        # Counts that were reported here can be used although they aren't stored, so
+        # their instances are waited for only briefly. Instances whose counts are
+        # unknown may return and get more time.
         timeout = (
             MISSING_TIMEOUT
             if missing - list_instance_names(unstored)
--- a/tests/credit_fleet.py
+++ b/tests/credit_fleet.py
@@ -67,11 +67,11 @@
 class Fleet:
     """Instances by name, the network between them, and the outcomes of requests."""
 
-    def __init__(self, size, traffic, seed, loss=0.001, slow=0.001):
+    def __init__(self, size, traffic, seed, loss=0.001, disorder=0.001):
         self.rng = random.Random(seed)
         self.traffic = traffic
         self.now = 0.0
-        self.loss, self.slow = loss, slow
+        self.loss, self.disorder = loss, disorder
         self.nodes = {}
         self.side = {}
         self.ran = []
@@ -136,12 +136,14 @@
 
     def _choose(self, node):
         names = self._rank()
-        all_names = names[: names.index(node.name)]
-        group_names = [
-            name for name in all_names[-GROUP:] if name // GROUP == node.name // GROUP
+        all_candidates = names[: names.index(node.name)]
+        group_candidates = [
+            name
+            for name in all_candidates[-GROUP:]
+            if name // GROUP == node.name // GROUP
         ]
-        node.choice.choose(group_names, all_names, self.now)
-        for name in node.choice.list_probes(group_names, all_names, self.now):
+        node.choice.choose(group_candidates, all_candidates, self.now)
+        for name in node.choice.list_probes(group_candidates, all_candidates, self.now):
             self._send_datagram(node.name, name, self._receive_probe, None)
 
     def _rank(self):
@@ -169,11 +171,11 @@
 
     def _send_datagram(self, sender, name, receive, message):
         """Send a datagram that may be lost, duplicated or delayed."""
-        for _ in range(2 if self.rng.random() < self.slow else 1):
+        for _ in range(2 if self.rng.random() < self.disorder else 1):
             if self.rng.random() < self.loss:
                 continue
             delay = self.rng.uniform(0.0005, 0.005)
-            if self.rng.random() < self.slow:
+            if self.rng.random() < self.disorder:
                 delay = self.rng.uniform(0.02, 0.7)
             datagram = (
                 self.now + delay,
--- a/tests/test_allowances_model.py
+++ b/tests/test_allowances_model.py
@@ -1,8 +1,8 @@
 """The bound on what a customer runs, over many instances and an unreliable network.
 
-In any window of W seconds, no more runs than the burst, plus the rate times W, plus the
-rate times the larger of OVERDRAFT_SECONDS and IN_TRANSIT_SECONDS, plus one request over
-the burst. This holds whatever the instances know of each other;
+In any window of W seconds, the cost that runs is at most the burst, plus the rate times
+W, plus the rate times the larger of OVERDRAFT_SECONDS and IN_TRANSIT_SECONDS, plus one
+request over the burst. This holds whatever the instances know of each other;
 ``docs/design/ALLOWANCES.md`` derives it.
 """
 
@@ -27,7 +27,8 @@
 # Fraction of the admissible cost that may be refused while instances are connected,
 # where a single shared bucket refuses nothing.
 REFUSED_FRACTION = 0.005
-# The same for requests nearly as large as the burst, beyond what one bucket refuses.
+# The same for requests nearly as large as the burst, in addition to the cost that a
+# single shared bucket refuses.
 LARGE_REFUSED_FRACTION = 0.03
 
 
@@ -118,10 +119,10 @@
 }
 
 
-def run_faults(size, traffic, faults, seed, loss=0.001, slow=0.001):
+def run_faults(size, traffic, faults, seed, loss=0.001, disorder=0.001):
     """Run a fleet through faults, each followed by some seconds."""
     rng = random.Random(seed)
-    fleet = Fleet(size, [traffic], seed, loss, slow)
+    fleet = Fleet(size, [traffic], seed, loss, disorder)
     fleet.limits = fleet.organisations
     fleet.run(SETTLE_SECONDS)
     for name, seconds in faults:
@@ -168,14 +169,14 @@
         # datagrams are lost, delayed, duplicated and reordered.
         traffic = make_traffic(rate, burst, asked, 6000.0, node_fraction)
         fleet = run_faults(
-            size, traffic, faults, seed, loss=bad_fraction, slow=bad_fraction
+            size, traffic, faults, seed, loss=bad_fraction, disorder=bad_fraction
         )
         self.check(fleet, traffic)
 
     def test_bound_holds_at_any_size_while_a_third_is_cut_off(self):
-        # At eight instances the slack of a limit hides what each spends on its own; at
-        # hundreds it doesn't. A customer sends six times its limit from the first
-        # second, and a third of the instances is cut off in the next.
+        # With eight instances, what each overspends stays within the tolerance of the
+        # bound; with hundreds it adds up beyond it. A customer sends six times its
+        # limit from the start, and later a third of the instances is cut off.
         for size in (8, 67, 195, 320):
             with self.subTest(size=size):
                 traffic = make_traffic(460_000.0, 1.0, 6.0, 6000.0)
--- a/tests/test_credit_parents.py
+++ b/tests/test_credit_parents.py
@@ -18,16 +18,18 @@
         self.now = 0.0
         self.probes = 0
 
-    def run(self, seconds, group_names=GROUP, all_names=ALL):
+    def run(self, seconds, group_candidates=GROUP, all_candidates=ALL):
         """Advance the clock; return the parent chosen by then."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP
-            parent = self.choice.choose(group_names, all_names, self.now)
+            parent = self.choice.choose(group_candidates, all_candidates, self.now)
             if parent is not None:
                 self.choice.record_claim(self.now)
                 self._answer(parent)
-            for name in self.choice.list_probes(group_names, all_names, self.now):
+            for name in self.choice.list_probes(
+                group_candidates, all_candidates, self.now
+            ):
                 self.probes += 1
                 self._answer(name)
         return self.choice.parent
@@ -42,11 +44,11 @@
         self.assertEqual(Peers(ALL).run(1.0), "group-1")
 
     def test_first_of_a_group_claims_from_the_first_of_all(self):
-        self.assertEqual(Peers(ALL).run(1.0, group_names=[]), "other-1")
+        self.assertEqual(Peers(ALL).run(1.0, group_candidates=[]), "other-1")
 
     def test_first_of_all_has_no_parent(self):
         peers = Peers(ALL)
-        self.assertIsNone(peers.run(1.0, group_names=[], all_names=[]))
+        self.assertIsNone(peers.run(1.0, group_candidates=[], all_candidates=[]))
         self.assertEqual(peers.probes, 0)
 
     def test_lost_parent_is_replaced_soon(self):
@@ -58,9 +60,9 @@
         self.assertEqual(peers.run(PARENT_TIMEOUT + 4 * STEP), "group-2")
 
     def test_better_parent_is_chosen_once_it_answers_a_probe(self):
-        # A better parent may be back or not. If the instance claimed from it before it
-        # answers a probe, it would lack credit for a third of a second every few
-        # seconds.
+        # It is not known whether a better parent that was lost is back. If the instance
+        # claimed from it before it answers a probe, the instance would lack credit for
+        # a third of a second every few seconds.
         peers = Peers(["group-2", *ALL])
         peers.answering.remove("group-1")
         peers.run(2.0)
@@ -75,7 +77,9 @@
         # minute.
         names = [f"n{number}" for number in range(200)]
         peers = Peers(names[100:])
-        self.assertEqual(peers.run(2.0, group_names=[], all_names=names), "n100")
+        self.assertEqual(
+            peers.run(2.0, group_candidates=[], all_candidates=names), "n100"
+        )
 
     def test_no_probes_while_the_parent_answers(self):
         peers = Peers(ALL)
--- a/tests/test_duty_leases_randomised.py
+++ b/tests/test_duty_leases_randomised.py
@@ -31,7 +31,8 @@
 # Probabilities for each call: lost in transit, its reply lost, carried out seconds
 # later.
 LOST, UNANSWERED, LATE = 0.05, 0.05, 0.05
-FREEZE = 0.002
+# Probability that an instance freezes in one step.
+FREEZE_PROBABILITY = 0.002
 TIMEOUT = 1.0
 
 
@@ -142,7 +143,7 @@
         for number, duty in enumerate(self.duties):
             if now < self.frozen[number]:
                 continue
-            if not self.fault_free and self.rng.random() < FREEZE:
+            if not self.fault_free and self.rng.random() < FREEZE_PROBABILITY:
                 self.frozen[number] = now + self.rng.uniform(0.5, 8.0)
                 continue
             if self.rng.random() < 0.3:
@@ -180,7 +181,8 @@
                     self.assertEqual(owners.setdefault(fence, number), number)
 
     def test_holder_returns_no_sooner_than_after_a_lease(self):
-        # The platform would see A, B and A again while older acts of A are in transit.
+        # If a holder returned sooner, the platform could see acts of A, B and A again
+        # while older acts of A are still in transit.
         for seed in SEEDS:
             last = {}
             with self.subTest(seed=seed):
@@ -191,7 +193,7 @@
 
     def test_duty_is_held_soon_after_the_faults_end(self):
         # During faults the duty may have no holder. Afterwards it must have one soon,
-        # or no usage is reported and no instances are ordered.
+        # or no usage is reported and no machines are ordered.
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 acts = World(seed).run(faults_end=60.0)
--- a/tests/test_instance_reports.py
+++ b/tests/test_instance_reports.py
@@ -8,7 +8,7 @@
 
 
 def make_counts(work, requests=0):
-    """Return the figures of one instance."""
+    """Return the Counts of one instance."""
     return Counts(1, {"": {"u": UpstreamLoad(requests, 0, 0)}}, {"engines": work})
 
 
@@ -44,8 +44,8 @@
 
     def test_returning_leader_adds_no_old_work(self):
         # A leader is cut off for half a minute while its successor sums all work; then
-        # it leads again. Computed from the last reports that it had received itself,
-        # eleven times the needed instances were ordered.
+        # it leads again. If it added all work since the last reports that it had itself
+        # received, eleven times the needed machines would be ordered.
         sums = ReportSums()
         sums.add_report("two", 1, make_counts(10.0), 0.0)
         sums.add_report("two", 1, make_counts(310.0), 30.0)
--- a/tests/test_leader_queries.py
+++ b/tests/test_leader_queries.py
@@ -38,9 +38,9 @@
         self.assertEqual(counted, Counter(sum(fleet.values(), [])))
 
     def test_machine_with_the_ample_link_leads(self):
-        # In a burst callers fill the link of a small machine. If a leader ran there,
-        # its replies would be lost and its group would decide alone for half a second,
-        # again and again.
+        # In a burst, callers saturate the link of a small machine. If a leader ran
+        # there, its replies would be lost, and again and again its group would choose
+        # upstreams for half a second without each other's loads.
         fleet = make_fleet(90)
         links = dict.fromkeys(sum(fleet.values(), []), 10.0)
         ample = {names[-1]: 200.0 for names in fleet.values()}
@@ -102,8 +102,8 @@
         self.assertEqual(self.queries.choose(["one", "two"], now), "one")
 
     def test_reply_of_a_leader_without_the_store_is_not_fresh(self):
-        # A leader that lost the store goes on replying with what it knew. Taken as
-        # fresh, a revoked key would stay valid at all its followers.
+        # A leader that lost the store goes on replying with outdated knowledge. If it
+        # counted as fresh, a revoked key would stay valid at all its followers.
         self.assertFalse(self.queries.fresh)
         self.exchange(["one", "two"], 0.0)
         self.assertTrue(self.queries.fresh)
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -59,8 +59,8 @@
         self.assertEqual(self.mirror.as_of, 4.0)
 
     def test_older_change_never_replaces_a_newer_one(self):
-        # A list from before a newer configuration may arrive late; the configuration
-        # must not go back.
+        # A reply with an older configuration may arrive late; it must not replace the
+        # newer one.
         self.answer(Page((put("k", 8, b"new"),), 8), 0.0)
         changed = self.answer(Changes((put("k", 6, b"old"),), 8), 0.1)
         self.assertEqual(changed, [])
@@ -219,8 +219,8 @@
         self.assertEqual(self.learning.revision, 9)
 
     def test_many_changes_are_sent_in_several_news(self):
-        # A data centre's upstreams leave at once. If the news were cut short, the rest
-        # would be kept.
+        # A data centre's upstreams leave at once. If the news lacked some of these
+        # changes, the upstreams concerned would be kept.
         self.watch([put(f"k{n}", 10 + n, b"x" * 200) for n in range(40)], 60, 1.0)
         count, rounds = 0, 0
         while self.learning.revision < 60:
@@ -259,9 +259,9 @@
 
     def test_later_started_mirror_updates_an_older_one(self):
         # A leader starts first and loses the store a moment later. All others started
-        # after its last known change and have never seen what was deleted before. The
-        # leader refused all callers until it reached the store again, although its
-        # whole group knew better.
+        # after its last known change and have never seen the items deleted before that.
+        # If their news were of no use to it, the leader would refuse all callers until
+        # it reaches the store again, although its whole group has fresh knowledge.
         self.watching, late = make_mirror(), self.learning
         late.items["a/gone"] = put("gone", 4)
         self.watching.next_call(1.0)
@@ -295,7 +295,8 @@
         self.assertEqual(self.apply_news(1.2, 1.2), [Item("a/short", None, 50)])
 
     def test_changes_before_an_applied_list_are_not_sent_as_complete(self):
-        # A third mirror has an item that was created and deleted in between.
+        # The first mirror listed the store after an item had been created and deleted,
+        # so it never saw that item. A third mirror still has it and must drop it.
         self.watching = make_mirror()
         self.watching.next_call(1.0)
         self.watching.receive(Page((put("k", 3),), 50), 1.0)
--- a/tests/test_report_exchange.py
+++ b/tests/test_report_exchange.py
@@ -79,8 +79,9 @@
         self.assertEqual(keys(), [200, 200, 200])
 
     def test_followers_of_a_leader_without_the_store_see_changes(self):
-        # The leader replies with what it knew. Its followers would miss a change
-        # although each of them could query the store itself.
+        # A leader without the store still replies, with outdated knowledge. Followers
+        # that relied on it would miss the change, although they can reach the store
+        # themselves.
         self.relays[LEADER].fault(cut=True)
         self.revoke()
         self.expect_revoked(NEXT, LAST)
--- a/tests/test_store_watchers.py
+++ b/tests/test_store_watchers.py
@@ -35,7 +35,7 @@
         self.duty_lease = SimpleNamespace(claim_delay=0.0)
         self.passive = False
         self.store_lost = False
-        # When it listed the store: it doesn't know earlier changes.
+        # Time at which this instance listed the store; it has no changes from before.
         self.listed_at = 0.0
         self.calls = 0
         self._clock = clock
@@ -136,7 +136,7 @@
             )
 
     def run(self, seconds, watched=()):
-        """Advance the clock; return the greatest age of the ``watched`` ones' state."""
+        """Advance the clock; return the greatest age at the ``watched`` instances."""
         end, oldest = self.now + seconds, 0.0
         with mock.patch("chervilwing.report_exchange.read_boottime", lambda: self.now):
             while self.now < end:
@@ -194,8 +194,8 @@
 
     def test_fallback_with_incomplete_news_is_left(self):
         # The first of the followers started after the last change that the leader
-        # knows, and can't supply what came in between; the others can. If the leader
-        # queried only that one, it would refuse all callers.
+        # knows, so it lacks the changes in between; the other followers have them. If
+        # the leader queried only the first follower, it would refuse all callers.
         world = World(8, "a", bound=2.0)
         world.run(SETTLE)
         leader = world.list_watching()[0]
@@ -220,7 +220,7 @@
                 self.assertLess(world.run(2 * SETTLE, world.names), MAX_FRESH_AGE)
 
     def test_watchers_that_lost_the_store_are_replaced(self):
-        # Both instances that watch for two hundred are turned away by the store.
+        # The store refuses the calls of both instances that watch it for two hundred.
         world = World(195, "abcde", bound=4.0)
         world.run(SETTLE)
         lost = world.list_watching()
