--- a/src/chervilwing/allowances.py
+++ b/src/chervilwing/allowances.py
@@ -15,7 +15,7 @@
 from .credit import ChildSession, Claim, Entry, Grant, ParentSession
 from .exceptions import AllowanceUnknown, CustomerLimit, Scope
 
-# Seconds after which a refused caller may retry: shortest and longest.
+# Minimum and maximum seconds after which a refused caller is asked to retry.
 MIN_RETRY_AFTER = 0.25
 MAX_RETRY_AFTER = 10.0
 # Seconds after which a caller may retry at another instance.
@@ -23,8 +23,9 @@
 # Fraction of all instances up to which a group of instances that reach each other is
 # assumed to be the cut-off side of a partition.
 MINORITY_FRACTION = 0.5
-# Seconds between two claims. Credit that is not needed is in transit for that long. A
-# leader of 24 instances answers 80 claims a second, 1 % of a small instance's core.
+# Seconds between two claims. Credit that an instance doesn't need stays there for up to
+# this time. A leader of 24 instances answers 80 claims a second, 1 % of a small
+# instance's core.
 CLAIM_INTERVAL = 0.3
 # Seconds without a message after which a parent or child counts as lost. Two claims in
 # a row are hardly ever lost by chance. The bound on spending grows by what the rate
@@ -352,8 +353,8 @@
         children = self._list_child_wants(name)
         wants = [*waiting, *(wanted for wanted, _ in children)]
         needs = [*waiting, *(minimum for _, minimum in children if minimum)]
-        # Requests at most one burst for all of them, or the cost of a single larger
-        # request.
+        # The wanted credit is at most one burst for all requests together, or the cost
+        # of the largest single request if that is more.
         wanted = max([min(sum(wants), bucket.burst), *wants])
         spare = int(bucket.level - SPARE_RATIO * reserve - wanted)
         if spare > 0 and session.incarnation:
--- a/src/chervilwing/coordination.py
+++ b/src/chervilwing/coordination.py
@@ -23,8 +23,9 @@
 # Store keys that the instances write: running instances, and the holder of the duties.
 INSTANCES = "chervilwing/instances/"
 DUTIES = "chervilwing/instances-duties"
-# Seconds that a watch waits. Each reply proves how fresh the knowledge is, also for the
-# instances that query this one; see leader_queries.MAX_FRESH_AGE.
+# Seconds that a watch waits for a change. Each reply, even without changes, renews the
+# knowledge of this instance and of those that query it; see
+# leader_queries.MAX_FRESH_AGE.
 CONFIGURATION_WAIT = 0.4
 REGISTRATIONS_WAIT = 0.4
 INSTANCES_WAIT = 4.0
@@ -326,7 +327,7 @@
             return
         found = self._read(self._sources.read_registration, item)
         if found is None:
-            # Overwritten by another writer: the item names no upstream any more.
+            # Another writer overwrote the item; it is no longer a valid registration.
             self._gateway.remove_upstream_now(name)
             return
         self._gateway.put_upstream(found)
--- a/src/chervilwing/datagrams.py
+++ b/src/chervilwing/datagrams.py
@@ -49,7 +49,8 @@
             try:
                 data, address = sock.recvfrom(READ_SIZE)
             except OSError:
-                # No datagram is left, or one that was sent earlier found no listener.
+                # No datagram is left to read, or the error is that a datagram sent
+                # earlier found no listener.
                 return
             self._receive(data, Address(*address))
 
--- a/src/chervilwing/duty_leases.py
+++ b/src/chervilwing/duty_leases.py
@@ -143,8 +143,8 @@
 
     def _receive_leased(self, reply, sent_at, now):
         self.lease = reply.lease
-        # The lease counts from the call's arrival at the store, so its sending is the
-        # safe start.
+        # The lease counts from the call's arrival at the store. Counting from its
+        # sending, which is earlier, is safe.
         self._trusted_until = sent_at + reply.ttl * TRUST_FRACTION
         self._renew_at = sent_at + reply.ttl * RENEW_FRACTION
 
--- a/src/chervilwing/instance_count.py
+++ b/src/chervilwing/instance_count.py
@@ -1,8 +1,9 @@
 """The number of instances, kept in the store for instances that start.
 
-If all instances lose power, their registrations lapse. Each one that restarts would see
-only the few that were faster, take a large share of every allowance, and together they
-would spend many times a customer's limit. The stored count outlives the registrations.
+If all instances lose power, their registrations lapse. Each instance that restarts
+would see only the few that restarted before it and would take a large share of every
+allowance; together the instances would spend many times a customer's limit. The stored
+count outlives the registrations.
 """
 
 from .store_calls import Commit
--- a/src/chervilwing/mirrors.py
+++ b/src/chervilwing/mirrors.py
@@ -31,8 +31,8 @@
 MAX_NEWS_BYTES = 1200
 # Bytes of keys sent to an instance whose revision is older than the kept changes: the
 # keys of a thousand upstreams, or of two hundred where the changes need several News.
-# The keys are repeated with each News, and hundreds of instances may start at once;
-# with more keys they would fill their links, and one list call to the store is cheaper.
+# The keys are repeated with each News, and hundreds of instances may start at once.
+# More keys would fill the links, and one list call to the store is cheaper.
 MAX_KEYS_BYTES = 24_000
 MAX_REPEATED_KEYS_BYTES = 4800
 
--- a/src/chervilwing/report_exchange.py
+++ b/src/chervilwing/report_exchange.py
@@ -1,6 +1,7 @@
 """Queries and replies between instances: the store's contents, loads, usage.
 
-The first living instance of a group leads it: it watches the store and adds up figures.
+The first living instance of a group leads it: it watches the store and adds up the
+reports.
 """
 
 import time
@@ -204,7 +205,7 @@
         return peer.address if peer else self._queriers[name][0]
 
     def _list_watching_groups(self):
-        """Return the groups whose leaders watch the store for this leader."""
+        """Return the groups whose leaders watch the store for this one, if any."""
         if self._max_age <= ALL_LEADERS_WATCH_AGE:
             return []
         queried = {
--- a/tests/test_duty_leases_randomised.py
+++ b/tests/test_duty_leases_randomised.py
@@ -26,7 +26,7 @@
 TTL = 3.0
 KEY = "duty"
 STEP = 0.05
-LENGTH = 120.0
+RUN_SECONDS = 120.0
 SEEDS = range(40)
 # Probabilities for each call: lost in transit, its reply lost, carried out seconds
 # later.
@@ -156,10 +156,10 @@
                 self.acts.append((now, number, fence))
                 duty.record_act(now)
 
-    def run(self, faults_end=LENGTH):
+    def run(self, faults_end=RUN_SECONDS):
         """Run to the end and return all acts; faults occur until ``faults_end``."""
         now = 0.0
-        while now < LENGTH:
+        while now < RUN_SECONDS:
             self.fault_free = now >= faults_end
             while self.queue and self.queue[0][0] <= now:
                 at, _, function = heapq.heappop(self.queue)
@@ -198,5 +198,5 @@
             with self.subTest(seed=seed):
                 acts = World(seed).run(faults_end=60.0)
                 seconds = {int(now) for now, _, _ in acts}
-                missing = sorted(set(range(70, int(LENGTH))) - seconds)
+                missing = sorted(set(range(70, int(RUN_SECONDS))) - seconds)
                 self.assertEqual(missing[:1], [])
--- a/tests/test_leader_queries.py
+++ b/tests/test_leader_queries.py
@@ -109,7 +109,7 @@
         self.assertTrue(self.queries.fresh)
         self.exchange(["one", "two"], 1.0, age=MAX_FRESH_AGE + 0.1)
         self.assertFalse(self.queries.fresh)
-        # It is still queried: reported loads don't depend on the store.
+        # The leader is still queried: reported loads don't depend on the store.
         self.assertEqual(self.queries.choose(["one", "two"], 1.1), "one")
 
     def test_dead_leader_is_queried_again_after_a_while(self):
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -149,14 +149,14 @@
 
     def test_late_reply_restores_no_deleted_item(self):
         # The reply to the mirror's own watch was in transit when newer news arrived.
-        call = self.learning
-        call.passive = False
-        call.next_call(1.0)
+        mirror = self.learning
+        mirror.passive = False
+        mirror.next_call(1.0)
         self.watch([put("k2", 7), Item("a/k2", None, 8)], 8, 1.0)
         self.apply_news(1.1, 1.1)
-        self.assertEqual(call.receive(Changes((put("k2", 7),), 7), 1.2), [])
-        self.assertEqual(set(call.items), {"a/k"})
-        self.assertEqual(call.revision, 8)
+        self.assertEqual(mirror.receive(Changes((put("k2", 7),), 7), 1.2), [])
+        self.assertEqual(set(mirror.items), {"a/k"})
+        self.assertEqual(mirror.revision, 8)
 
     def test_too_large_changes_are_listed_from_the_store(self):
         # A configuration of some hundred routes doesn't fit into a datagram.
@@ -185,8 +185,8 @@
         self.assertIsNone(self.learning.next_call(3.0))
 
     def test_news_during_a_listing_are_kept(self):
-        # The mirror has sent a list call to a store that can't be reached. The reply
-        # comes late, with an item that was deleted since.
+        # The mirror has sent a list call to the store. The reply comes late, with an
+        # item that was deleted since; it must not undo newer news.
         self.learning.passive = False
         late = make_mirror()
         late.next_call(1.0)
@@ -200,10 +200,10 @@
         self.assertEqual(self.learning.revision, 9)
 
     def test_unusable_news_leave_the_items_unchanged(self):
-        # A leader loses the store and queries its followers. The one that started last
-        # doesn't have the earlier changes. If the leader dropped its own state because
-        # of that, it could apply nothing from the others either, and would refuse all
-        # callers until it reaches the store again.
+        # A leader loses the store and queries its followers. The follower that started
+        # last doesn't have the earlier changes. If the leader dropped its own state
+        # because of that, it couldn't apply the other followers' news either, and would
+        # refuse all callers until it reaches the store again.
         self.learning.passive = False
         self.learning.next_call(1.0)
         self.learning.receive(Unavailable("cut"), 1.1)
@@ -283,8 +283,8 @@
 
     def test_deletion_unknown_to_the_sender_is_found(self):
         # An upstream was registered and removed while the watching mirror's history was
-        # gone. An instance that saw it in the store gets news from one that never did,
-        # and would keep it for good.
+        # gone. Another instance saw the upstream in the store. It gets news from the
+        # watching instance, which never saw it, and would keep the upstream for good.
         self.watching.next_call(1.0)
         self.watching.receive(HistoryGone(), 1.0)
         self.watching.next_call(1.1)
@@ -295,8 +295,9 @@
         self.assertEqual(self.apply_news(1.2, 1.2), [Item("a/short", None, 50)])
 
     def test_changes_before_an_applied_list_are_not_sent_as_complete(self):
-        # The first mirror listed the store after an item had been created and deleted,
-        # so it never saw that item. A third mirror still has it and must drop it.
+        # The watching mirror listed the store after an item had been created and
+        # deleted, so it never saw that item. A third mirror still has it; news from the
+        # second must make it drop the item.
         self.watching = make_mirror()
         self.watching.next_call(1.0)
         self.watching.receive(Page((put("k", 3),), 50), 1.0)
--- a/tests/test_report_exchange.py
+++ b/tests/test_report_exchange.py
@@ -66,9 +66,9 @@
             self.relays[name].fault(cut=True)
         self.revoke()
         self.expect_revoked(*NAMES)
-        keys = lambda: [self.call(self.gateways[name], key="k2") for name in NAMES]
-        # This lasts longer than old knowledge of keys is trusted, with a new version
-        # each time.
+        call_all = lambda: [self.call(self.gateways[name], key="k2") for name in NAMES]
+        # The loop lasts longer than outdated knowledge of keys is trusted; each round
+        # publishes a new version.
         for version in range(12):
             self.document["version"] += 1
             self.document["tenants"][0]["apiKeys"] = ["k2", f"n{version}"]
@@ -76,7 +76,7 @@
             for name in NAMES:
                 gateway, key = self.gateways[name], f"n{version}"
                 poll(lambda g=gateway, key=key: self.call(g, key=key) == 200)
-        self.assertEqual(keys(), [200, 200, 200])
+        self.assertEqual(call_all(), [200, 200, 200])
 
     def test_followers_of_a_leader_without_the_store_see_changes(self):
         # A leader without the store still replies, with outdated knowledge. Followers
@@ -89,8 +89,8 @@
         self.expect_revoked(LEADER)
 
     def test_resumed_leader_accepts_no_revoked_key(self):
-        # The followers get no replies. When the leader resumes, its knowledge is
-        # seconds old, and its socket buffer holds queries that have timed out.
+        # The frozen leader sends no replies. When it resumes, its knowledge is seconds
+        # old, and its socket buffer holds queries that have timed out.
         self.gateways[LEADER].freeze()
         self.revoke()
         self.expect_revoked(NEXT, LAST)
--- a/tests/test_store_watchers.py
+++ b/tests/test_store_watchers.py
@@ -189,7 +189,7 @@
         followers = [n for n in world.names if n != leader]
         oldest = max(world.knowledge_by_name[n].measure_age() for n in followers)
         self.assertLess(oldest, 2.0)
-        # The leader learns from its followers what it can't query itself.
+        # The leader gets the changes from its followers.
         self.assertLess(world.knowledge_by_name[leader].measure_age(), 4.0)
 
     def test_fallback_with_incomplete_news_is_left(self):
