--- a/src/chervilwing/balancing.py
+++ b/src/chervilwing/balancing.py
@@ -240,20 +240,20 @@
         lightly_loaded = not load.prefill and load.requests < LIGHT_LOAD_REQUESTS
         return Estimate(seconds, prefill, source, load.prefill, lightly_loaded)
 
-    def is_overloaded(self, estimate, shortest):
+    def is_overloaded(self, estimate, shortest_target):
         """Return whether the queue is too long to meet the shortest latency target.
 
-        ``shortest`` is the shortest latency target of the pool's routes, in seconds.
-        Under an overload of several seconds, each prompt would wait for all before it,
-        all answers would start late and the engines' work would be wasted; so no queue
-        may grow beyond what that target allows. The bound is the same for requests of
-        all kinds and sizes: a longer queue for some would leave no room for the rest.
+        ``shortest_target`` is that target in seconds, of all routes to the pool. Under
+        an overload of several seconds, each prompt would wait for all before it, all
+        answers would start late and the engines' work would be wasted; so no queue may
+        grow beyond what that target allows. The bound is the same for requests of all
+        kinds and sizes: a longer queue for some would leave no room for the rest.
         Return False if the request was not placed by a placer, as the queue lengths are
         not known well enough then.
         """
         if self.spec.engine is None or not estimate.placer:
             return False
-        limit = max(MIN_QUEUE_LIMIT, shortest * MAX_QUEUE_FRACTION)
+        limit = max(MIN_QUEUE_LIMIT, shortest_target * MAX_QUEUE_FRACTION)
         return estimate.queued_tokens / self.rate > limit
 
     def _plan_fetch(self, upstream_state, prefixes):
@@ -320,9 +320,9 @@
         """Add a request's work to the total, once, whatever its outcome.
 
         The work is counted at the speed of lightly loaded engines and not per attempt.
-        Overloaded engines seem slow, and refused requests are sent twice; with their
-        current speed, or counted at each attempt, the work would look larger the fewer
-        engines there are, and ever more instances would be ordered.
+        Overloaded engines are slow, and refused requests are sent twice: if the current
+        speed were used, or each attempt counted, the work would seem to grow as engines
+        are lost, and ever more upstreams would be ordered.
         """
         self.work += estimate.prefill / self.light_load_rate
         self.work += demand.expected_tokens * TOKEN_TIME
--- a/src/chervilwing/crash_detection.py
+++ b/src/chervilwing/crash_detection.py
@@ -17,11 +17,11 @@
 
 # Seconds that a probe's connection may take to open; a longer time proves nothing.
 CONNECT_TIMEOUT = 0.6
-# Seconds for which an attempt whose caller left is remembered. It may still crash its
+# Seconds for which an attempt whose caller left is kept. It may still crash its
 # upstream, which is noticed when the registration lapses: three heartbeats later, plus
 # the time until that is known.
 ABANDONED_FOR = 8.0
-# Number of latest such attempts that are kept.
+# Number of latest attempts whose callers left that are kept.
 MAX_ABANDONED = 512
 # Heartbeats after which the registration of a crashed upstream lapses, and seconds
 # until all instances know that it has lapsed.
@@ -74,7 +74,7 @@
         self._assumed = {}
         # Times of the latest crashes by upstream.
         self._crashed = OrderedDict()
-        # Restarts by upstream, of those that restarted last.
+        # Restarts by upstream, of the upstreams that restarted last.
         self._restarts = OrderedDict()
         self._probes = {}
         handlers = StreamHandlers(self._opened, self._received, self._closed)
@@ -89,7 +89,7 @@
         """Handle an attempt whose connection broke off before the answer's end."""
         registration = relay.upstream_state.registration
         if relay.sent_at < self._get_restarts(registration.name).at:
-            # The previous process ran it, whose crash is recorded already.
+            # It ran in the upstream's previous process; that crash is already recorded.
             return
         crashed_at = self._crashed.get(registration.name)
         if crashed_at is not None:
@@ -98,7 +98,7 @@
                 crash = self._make_crash_id(registration.name)
                 self._records.prove(Suspicion(relay.fingerprint, crash), now)
         elif not registration.leaving:
-            # A leaving upstream ends when its time is over, whatever it runs.
+            # A leaving upstream ends when its time is over, so no request is suspected.
             self._start_probe(registration, now)
 
     def handle_answered(self, relay):
--- a/src/chervilwing/crash_records.py
+++ b/src/chervilwing/crash_records.py
@@ -21,8 +21,9 @@
 # crashing request forever: with a shorter time it would crash three upstreams again and
 # again; a longer time bars requests whose fault has been fixed in the meantime.
 SUSPECTED_FOR = 600.0
-# Seconds after a request's last crash within which another instance's report of an
-# answer may still arrive; until then, its caller is asked to retry after this time.
+# Seconds after a request's last crash for which another instance's report that the
+# request was answered may still be in transit. A caller that is refused in this time is
+# asked to retry after as many seconds.
 REPORT_DELAY = 2.0
 # Number of latest requests that are kept; each takes about a hundred bytes.
 MAX_REQUESTS = 4096
@@ -31,12 +32,13 @@
 REPORT_FOR = 3.0
 # Suspicions reported at once, so that a datagram stays small.
 MAX_REPORTS = 64
-# Seconds for which a request with a complete answer is not suspected, and how many of
-# these are kept. A document that hundreds of callers request is in flight at every
-# upstream that crashes; without this it would be barred for crashes it didn't cause.
+# Seconds for which a request with a complete answer is not suspected, and how many such
+# requests are kept. A request that hundreds of callers send for one document is in
+# flight at every upstream that crashes; without this it would be barred for crashes
+# that it didn't cause.
 EXEMPT_FOR = 10.0
 MAX_ANSWERED = 1024
-# Number of upstreams that are kept as crashed, and as having answered since.
+# Number of upstreams whose crash is kept, and of those whose last answer is kept.
 MAX_UPSTREAMS = 1024
 # Seconds by which a report that an upstream has answered may be late, as datagrams wait
 # during a burst. Without this margin it could withdraw a crash that followed the
@@ -55,7 +57,7 @@
 
 
 class CrashReport(NamedTuple):
-    """Report to another instance: a Suspicion and its age in seconds."""
+    """Report to another instance: a Suspicion and the seconds since the crash."""
 
     fingerprint: str
     upstream: str
@@ -69,8 +71,8 @@
     fingerprints: set[str]
 
 
-class State(Enum):
-    """State of one suspicion.
+class SuspicionState(Enum):
+    """State of one request's suspicion of one crash.
 
     ASSUMED: a connection broke off, and it is not yet known whether the upstream has
     crashed. PROVED: the upstream has crashed. WITHDRAWN: another upstream has answered
@@ -82,13 +84,13 @@
     WITHDRAWN = 3
 
 
-COUNTED_STATES = (State.ASSUMED, State.PROVED)
+COUNTED_STATES = (SuspicionState.ASSUMED, SuspicionState.PROVED)
 
 
 class SuspectedRequest:
-    """State of one request.
+    """Suspicions of one request.
 
-    ``crashes`` maps each crash's upstream to the State of the suspicion; they count
+    ``crashes`` maps each crash's upstream to a SuspicionState. All suspicions count
     until the time ``until``.
     """
 
@@ -152,22 +154,28 @@
         if self._was_answered(suspicion.fingerprint, now):
             return
         suspect = self._find_or_add(suspicion.fingerprint, now)
-        suspect.crashes.setdefault(suspicion.upstream, State.ASSUMED)
+        suspect.crashes.setdefault(suspicion.upstream, SuspicionState.ASSUMED)
 
     def dismiss(self, suspicion):
         """Remove an assumed suspicion, because the upstream is still running."""
         suspect = self._suspects.get(suspicion.fingerprint)
-        if suspect and suspect.crashes.get(suspicion.upstream) is State.ASSUMED:
+        if (
+            suspect
+            and suspect.crashes.get(suspicion.upstream) is SuspicionState.ASSUMED
+        ):
             del suspect.crashes[suspicion.upstream]
             if not suspect.crashes:
                 del self._suspects[suspicion.fingerprint]
 
     def prove(self, suspicion, now):
         """Suspect a request of a crash that this instance detected."""
-        self.apply_reports(CrashReport(*suspicion, 0.0), now, near=True)
+        self.apply_reports(CrashReport(*suspicion, 0.0), now, from_group=True)
 
-    def apply_reports(self, report, now, near=False):
-        """Apply a report; ``near`` if it comes from this instance or its group."""
+    def apply_reports(self, report, now, from_group=False):
+        """Apply a report.
+
+        ``from_group`` is True if this instance or another of its group sent it.
+        """
         suspicion, at = Suspicion(report.fingerprint, report.upstream), now - report.age
         if suspicion.upstream == ANY:
             self._withdraw_request(suspicion.fingerprint, now)
@@ -178,7 +186,7 @@
         if not self._add_proved(suspicion, at, now):
             return
         self._queue_report(suspicion, at, now)
-        if near:
+        if from_group:
             self.stored.collect(*suspicion, now)
         suspect = self._suspects[suspicion.fingerprint]
         if suspect.count() > 1:
@@ -246,7 +254,7 @@
         for fingerprint in fingerprints:
             suspect = self._suspects.get(fingerprint)
             if suspect and upstream in suspect.crashes:
-                suspect.crashes[upstream] = State.WITHDRAWN
+                suspect.crashes[upstream] = SuspicionState.WITHDRAWN
 
     def _withdraw_crash(self, upstream, at, now):
         """Withdraw a crash of an upstream that was running at a later time ``at``."""
@@ -268,7 +276,7 @@
 
     def _count_if_proved(self, fingerprint, upstream):
         suspect = self._suspects.get(fingerprint)
-        proved = suspect and suspect.crashes.get(upstream) is State.PROVED
+        proved = suspect and suspect.crashes.get(upstream) is SuspicionState.PROVED
         return suspect.count() if proved else 0
 
     def _was_answered(self, fingerprint, now):
@@ -293,10 +301,10 @@
             and now < existing.until
             and existing.crashes.get(suspicion.upstream)
         )
-        if state in (State.PROVED, State.WITHDRAWN):
+        if state in (SuspicionState.PROVED, SuspicionState.WITHDRAWN):
             return False
         suspect = self._find_or_add(suspicion.fingerprint, now)
-        suspect.crashes[suspicion.upstream] = State.PROVED
+        suspect.crashes[suspicion.upstream] = SuspicionState.PROVED
         crash = self._crashes.setdefault(suspicion.upstream, Crash(at, set()))
         crash.fingerprints.add(suspicion.fingerprint)
         keep_latest(self._crashes, MAX_UPSTREAMS)
@@ -311,5 +319,5 @@
             return
         self.stored.schedule_rewrite(fingerprint, now)
         # Kept, so that further reports of these crashes have no effect.
-        suspect.crashes = dict.fromkeys(suspect.crashes, State.WITHDRAWN)
+        suspect.crashes = dict.fromkeys(suspect.crashes, SuspicionState.WITHDRAWN)
         self._queue_report(Suspicion(fingerprint, ANY), now, now)
--- a/src/chervilwing/gateway.py
+++ b/src/chervilwing/gateway.py
@@ -68,7 +68,7 @@
 
 
 class Gateway(BaseComponent):
-    """Own the requests between callers and registered upstreams.
+    """Relay requests between callers and registered upstreams.
 
     ``keys_are_fresh()`` returns whether this instance's copy of the API keys is recent
     enough to accept them.
@@ -95,8 +95,8 @@
         self.stats = Stats(cfg.stats_pairs)
         self.limits = CurrentLimits(cfg.limits)
         self.on_usage = lambda organisation, seconds_ago: None
-        # Returns since when the copy of the registrations has been up to date without
-        # interruption.
+        # Returns the time since which this instance's copy of the registrations has
+        # been up to date without interruption.
         self.registrations_fresh_since = lambda: float("inf")
         self.draining = False
         self.crash_detection = CrashDetection(poller, self, client).register(self)
@@ -109,7 +109,7 @@
         self.web = Web(self.limits, poller, handlers, "callers", options).register(self)
 
     def configure(self, document):
-        """Apply a routing document and return True, unless it is not newer."""
+        """Apply a routing document if it is newer; return whether it was applied."""
         if self.table is not None and document.version <= self.table.document.version:
             return False
         self.table = RoutingTable(document)
@@ -297,7 +297,10 @@
         self._log_and_refuse(relay.exchange, exc)
 
     def _send(self, relay, choice, now):
-        """Send a request, the first time or again; raise if the first is refused."""
+        """Send a request to the chosen upstream, the first time or again.
+
+        Raise if a first send is refused; a refused retry is answered with an error.
+        """
         if relay.upstream_state is not None:
             self._attempts.resend(relay, choice)
             return
@@ -319,7 +322,7 @@
             )
 
     def retry_waiting_requests(self, now):
-        """Send waiting requests that have credit now; refuse those past the limit."""
+        """Send waiting requests that have credit; refuse those that waited too long."""
         waiting, self._waiting = self._waiting, []
         for relay in waiting:
             try:
@@ -356,8 +359,10 @@
         scope = Scope("pool", relay.pool.spec.name)
         seconds = estimate.seconds
         hopeless = seconds > (relay.deadline - now) * MAX_DEADLINE_PART
-        shortest = self.table.shortest_latency_targets.get(scope.name, float("inf"))
-        if hopeless or relay.pool.is_overloaded(estimate, shortest):
+        shortest_target = self.table.shortest_latency_targets.get(
+            scope.name, float("inf")
+        )
+        if hopeless or relay.pool.is_overloaded(estimate, shortest_target):
             relay.pool.record_work(relay.demand, estimate)
             raise PoolFull(scope=scope, retry_after=min(seconds, RETRY_AFTER * 4))
 
@@ -402,7 +407,9 @@
         relay.ended = True
         self.relays.discard(relay)
         now = read_boottime()
-        series = self.stats.select(relay.name or OPEN_LABEL, relay.route.name)
+        series = self.stats.select(
+            relay.organisation_name or OPEN_LABEL, relay.route.name
+        )
         series.record_outcome(outcome, cause)
         series.record_answer(now - relay.received_at)
         if relay.first_byte_at is not None:
--- a/src/chervilwing/placement_exchange.py
+++ b/src/chervilwing/placement_exchange.py
@@ -107,10 +107,12 @@
             return
         self._ranked_version = self._coordinator.peers_version
         peers = self._coordinator.peers
-        near = {n for n, p in peers.items() if p.data_centre == self._cfg.data_centre}
+        same_centre = {
+            n for n, p in peers.items() if p.data_centre == self._cfg.data_centre
+        }
         links = self._coordinator.list_links()
         ranked = rank_leaders([self._cfg.name, *peers], links)
-        self._placer_names = order_placers(ranked, near | {self._cfg.name})
+        self._placer_names = order_placers(ranked, same_centre | {self._cfg.name})
 
     def _select_placer(self, now):
         target = self._selector.choose(self._placer_names, now)
--- a/src/chervilwing/placer_selection.py
+++ b/src/chervilwing/placer_selection.py
@@ -44,10 +44,10 @@
 
 
 class Answer(NamedTuple):
-    """Message with the upstream that a placer chose; ``upstream`` is empty for none.
+    """Message with the upstream that a placer chose; empty if it chose none.
 
-    ``number`` is that of the Ask, ``name`` the placing instance and ``source`` the name
-    of an upstream; the other fields are those of Estimate.
+    ``number`` is that of the Ask, ``name`` the name of the placing instance, and
+    ``source`` the name of an upstream; the other fields are those of Estimate.
     """
 
     number: int
@@ -63,7 +63,7 @@
 
 
 class PlacementId(NamedTuple):
-    """Identity of a placed request: its Ask's number and the placing instance."""
+    """Id of a placed request: its Ask's number and the placing instance's name."""
 
     number: int
     name: str
@@ -111,15 +111,18 @@
     )
 
 
-def order_placers(ranked, near):
+def order_placers(ranked, same_centre):
     """Return the placers' names in the order in which an instance asks them.
 
-    ``ranked`` is the common order of all instances, ``near`` the names in the asking
-    instance's data centre. The first of ``ranked`` leads; those in ``near`` follow,
-    since a data centre is usually cut off from the others as a whole.
+    ``ranked`` is the common order of all instances, ``same_centre`` the names in the
+    asking instance's data centre. The first of ``ranked`` is asked first; the instances
+    in ``same_centre`` follow, since a data centre is usually cut off from the others as
+    a whole.
     """
     first = ranked[:1]
-    return list(dict.fromkeys([*first, *(n for n in ranked if n in near), *ranked]))
+    return list(
+        dict.fromkeys([*first, *(n for n in ranked if n in same_centre), *ranked])
+    )
 
 
 class PlacerSelector:
--- a/src/chervilwing/prompt_caches.py
+++ b/src/chervilwing/prompt_caches.py
@@ -8,12 +8,12 @@
 from collections import OrderedDict, deque
 from typing import NamedTuple
 
-# Fewest shared tokens of a prompt that are worth reporting. Most of hundreds of
-# requests per second are short; a report takes about 25 bytes in every answer between
-# instances, while an engine reads fewer tokens than these in 20 ms.
+# Fewest shared tokens of a prompt that is reported. Most of hundreds of requests per
+# second have fewer. An engine reads such a prompt in 20 ms, while each report adds
+# about 25 bytes to every answer between instances.
 MIN_REPORTED_TOKENS = 1000
-# Seconds for which a sent prompt is reported: enough for two exchanges in each of two
-# groups and a lost one.
+# Seconds for which a sent prompt is reported: long enough for two exchanges within the
+# sender's group and two within the receiver's, even if one of them is lost.
 PROMPT_REPORT_SECONDS = 1.5
 # Fraction of an engine's memory assumed to hold parts that later requests share; the
 # rest holds the own parts of single requests and generated tokens.
--- a/src/chervilwing/rollout_duty.py
+++ b/src/chervilwing/rollout_duty.py
@@ -1,4 +1,4 @@
-"""Decide on roll-outs and store the decisions, while this instance holds the duties."""
+"""Decide on roll-outs and store the decisions, on the holder of the duty lease."""
 
 from circuits.core import BaseComponent, handler
 
@@ -20,7 +20,7 @@
 
 
 class RolloutDuty(BaseComponent):
-    """Advance each open order to its final state, one write at a time."""
+    """Advance each roll-out to its final state, one write at a time."""
 
     channel = "rollout-duty"
 
@@ -84,6 +84,6 @@
         if isinstance(reply, Committed):
             self._rollouts.put_decision(pool, decision, reply.revision)
             return
-        # A decision of another instance, or one whose answer was lost, arrives by the
-        # watch.
+        # If another instance has decided, or the reply to a successful write was lost,
+        # the watch on the store delivers the decision.
         log_event("rollout not written", pool=pool, reply=type(reply).__name__)
--- a/src/chervilwing/rollouts.py
+++ b/src/chervilwing/rollouts.py
@@ -2,10 +2,10 @@
 
 An operator orders that a pool's work moves to a new version by a deadline. During the
 trial the new version gets a small fraction of the requests, drawn at random for each
-request, so that the fraction is bounded without coordination. The holder of the duties
-evaluates the answers that all instances saw and writes its decision to the store; a
-decision never returns to an earlier state. docs/design/ROLLOUTS.md has the bound, the
-statistical test and the alternatives.
+request, so that the fraction is bounded without coordination. The instance that holds
+the duty lease evaluates the answers that all instances received and writes its decision
+to the store; a decision never returns to an earlier state. docs/design/ROLLOUTS.md has
+the bound, the statistical test and the alternatives.
 """
 
 from math import comb
@@ -18,8 +18,8 @@
 from .store_calls import Commit
 
 DECISIONS = "chervilwing/instances-rollouts/"
-# Which answers a total counts: the field names of Answers.
-ALL, BAD = "count", "bad"
+# Kinds of totals, named after the fields of Answers to which they are added.
+COUNT_FIELD, BAD_FIELD = "count", "bad"
 # States of a decision, and for each the states that may follow it.
 RUNNING, SHIFTING = "running", "shifting"
 COMPLETED, ROLLED_BACK = "completed", "rolled_back"
@@ -33,14 +33,15 @@
 # it is drawn for each request, the fraction stays below that for any number of requests
 # and instances.
 TRIAL_FRACTION = 0.04
-# Fraction of all requests that may reach a bad version by the deadline, and the number
-# that is allowed on top.
+# Requests that may reach a bad version by the deadline: this fraction of all requests
+# plus this number.
 EXPOSED_FRACTION = 0.1
-EXPOSED_MORE = 40
+EXPOSED_ALLOWANCE = 40
 # Age in seconds from which the known decisions are too old to send trial requests.
 MAX_DECISION_AGE = 2.5
-# Seconds for which a new version gets no requests without an order: the watches of
-# orders and of upstreams deliver their changes with a smaller difference.
+# Seconds for which a new version without an order gets no requests. The watch on orders
+# may deliver the order later than the watch on upstreams delivers the version, but by
+# less than this.
 UNKNOWN_VERSION_WAIT = 2.0
 # Seconds for which work moves to the new version before the old one is stopped: all
 # instances know a decision within 1.3 s, and calls without a stream end soon after.
@@ -49,8 +50,8 @@
 DEADLINE_MARGIN = 0.5
 # Fewest answers of a new version for which it may be completed.
 MIN_ANSWERS = 10
-# Failure rate that is normal for any version, and the number of answers that this prior
-# counts for.
+# Failure rate expected of any version before it is measured, and the number of measured
+# answers that this expectation weighs as much as.
 BASE_FAILURE_RATE = 0.02
 PRIOR_ANSWERS = 20
 # P-values below which a version counts as bad: during the trial, where it is tested
@@ -59,8 +60,8 @@
 DOUBTFUL_P_VALUE = 0.01
 # Fewest failures on a route for which it is tested.
 MIN_FAILURES = 3
-# Number of failures from which a weaker suspicion suffices, and its p-value: soon after
-# that many failures, no request may be sent to a bad version.
+# From this number of failures on, a version counts as bad at this higher p-value: soon
+# after that many failures, no request may be sent to a bad version.
 MANY_FAILURES = 40
 MANY_FAILURES_P_VALUE = 0.1
 
@@ -209,7 +210,7 @@
     total = count + sum_answers(current).count
     rate = total / max(1.0, now - rollout.decision.began_at)
     more = rate * (left + DEADLINE_MARGIN)
-    return count + more <= EXPOSED_FRACTION * (total + more) + EXPOSED_MORE
+    return count + more <= EXPOSED_FRACTION * (total + more) + EXPOSED_ALLOWANCE
 
 
 class Rollouts:
@@ -238,14 +239,14 @@
         seen.setdefault(version, now if seen else float("-inf"))
 
     def put_order(self, order, revision):
-        """Store an operator's order, unless a newer one for its pool is known."""
+        """Store an operator's order, unless a newer order for its pool is known."""
         known = self.rollouts_by_pool.get(order.pool)
         if known is None or known.revision < revision:
             self.rollouts_by_pool[order.pool] = Rollout(order, revision)
             self._update_rollout(order.pool)
 
     def put_decision(self, pool, decision, revision):
-        """Store a pool's decision as it is in the store, or None if there is none."""
+        """Apply the decision that the store holds for a pool; None if there is none."""
         self._decisions[pool] = (decision, revision)
         self._update_rollout(pool)
 
@@ -322,7 +323,7 @@
 
     def record_answer(self, pool, version, route, bad):
         """Count one answer of a version; ``bad`` if it failed or was too slow."""
-        for which in (ALL, BAD) if bad else (ALL,):
+        for which in (COUNT_FIELD, BAD_FIELD) if bad else (COUNT_FIELD,):
             name = encode_answer_key(pool, version, route, which)
             self.answers[name] = self.answers.get(name, 0.0) + 1
 
--- a/src/chervilwing/routing.py
+++ b/src/chervilwing/routing.py
@@ -84,12 +84,12 @@
 
 
 class FleetSpec(NamedTuple):
-    """Limits and prices of the instances of a pool.
+    """Limits and prices of the upstreams of a pool.
 
-    ``minimum`` and ``maximum`` are the numbers of instances per data centre,
-    ``boot_time`` is their boot time in seconds, ``prices`` holds the price of an
-    instance second by data centre, and ``reclaimable_price`` the fraction of it that a
-    reclaimable one costs.
+    ``minimum`` and ``maximum`` limit the number of upstreams per data centre,
+    ``boot_time`` is the time that an upstream takes to boot, in seconds, ``prices``
+    holds the price per second of an on-demand upstream by data centre, and
+    ``reclaimable_price`` the fraction of that price that a reclaimable upstream costs.
     """
 
     minimum: int
--- a/src/chervilwing/sizing.py
+++ b/src/chervilwing/sizing.py
@@ -1,10 +1,10 @@
-"""Compute how many instances of each kind a pool should have in each data centre.
+"""Compute how many upstreams of each kind a pool should have in each data centre.
 
-Reclaimable instances cost a fraction of on-demand ones, but all reclaimable instances
+Reclaimable upstreams cost a fraction of on-demand ones, but all reclaimable upstreams
 of a data centre may be reclaimed within seconds, and for a while none may be available
-anywhere. So reclaimable instances carry the work, spread over the data centres, with
-spare capacity for the loss of one data centre. On-demand instances are ordered while
-the reclaimable ones could not bear the loss of another data centre.
+anywhere. So reclaimable upstreams do the work, spread over the data centres, with spare
+capacity for the loss of one data centre. On-demand upstreams are ordered while the
+reclaimable ones could not replace the loss of another data centre.
 """
 
 from collections import deque
@@ -13,29 +13,29 @@
 
 from .costs import update_average
 
-# Engines per engine second of work per second: a fifth more than usual for bursts, and
-# half as much again for the loss of one of three data centres.
+# Upstreams per unit of work (engine seconds per second): 1.2 for bursts, times 1.5 so
+# that two of three data centres suffice.
 HEADROOM = 1.8
-# Engines per engine second of work per second below which callers wait, so that
-# on-demand instances are ordered at once.
+# Upstreams per unit of work (engine seconds per second) below which callers have to
+# wait, so that on-demand upstreams are ordered at once.
 MIN_HEADROOM = 1.3
-# Fewest engines in a data centre: a single one is lost with each crash or release.
+# Fewest upstreams in a data centre: a single one is lost with each crash or release.
 MIN_PER_CENTRE = 2
-# Fewest engines that may remain while on-demand instances boot.
-MIN_INSTANCES = 3
+# Fewest upstreams that may remain while on-demand upstreams boot.
+MIN_UPSTREAMS = 3
 # Seconds between two measurements of the work, and the weight of each: a burst of three
 # seconds moves the rate by half.
 MEASURE_INTERVAL = 0.5
 MEASURE_WEIGHT = 0.12
 # Seconds after a refused order until the same order is repeated.
 DENIED_WAIT = 3.0
-# Longest such wait in seconds. The wait doubles with each refusal, since each order
-# costs money.
+# Longest wait in seconds until a refused order is repeated. The wait doubles with each
+# refusal, since each order costs money.
 MAX_DENIED_WAIT = 6.0
-# Seconds for which the highest number of required on-demand instances is kept. The work
-# is measured every half second while instances come and go: an order withdrawn at the
-# next measurement would end an instance before it has booted. A longer time would pay
-# for instances that are no longer needed.
+# Seconds for which the highest number of required on-demand upstreams is kept. The work
+# is measured every half second while upstreams come and go: an order withdrawn at the
+# next measurement would end an upstream before it has booted. A longer time would pay
+# for upstreams that are no longer needed.
 KEEP_ON_DEMAND_FOR = 2.0
 # Seconds after a reclaim notice or a refused order for which further reclaims are
 # expected.
@@ -44,21 +44,22 @@
 REPEAT_ORDER_AFTER = 3.0
 # Seconds of measurement until the measured work is trusted. When all instances start at
 # once, or all were killed, the work seems to be zero while callers continue: the
-# engines that serve it would be released, and would be back a boot time too late.
+# upstreams that do it would be released, and would be back a boot time too late.
 SETTLE_TIME = 5.0
-# Fraction of the allowed maximum that is ordered until then. Operators limit a pool to
-# several times its usual size, and with cold caches each prompt is read completely,
-# which takes twice the engines needed later. Too many reclaimable instances for some
-# seconds cost little; too few leave most callers of these seconds unserved.
+# Fraction of the allowed maximum that is ordered before the measured work is trusted.
+# Operators limit a pool to several times its usual size, and with cold caches each
+# prompt is read completely, which takes twice the upstreams needed later. Too many
+# reclaimable upstreams for some seconds cost little; too few leave most callers of
+# these seconds unserved.
 INITIAL_FRACTION = 0.35
-# Seconds over which the peak of the work determines the reclaimable engines. With
-# bursts of some seconds, engines would otherwise be released after each burst and
-# booted for the next one, and each order costs money.
+# Seconds over which the peak of the work determines the number of reclaimable
+# upstreams. With bursts of some seconds, upstreams would otherwise be released after
+# each burst and booted for the next one, and each order costs money.
 PEAK_WINDOW = 8.0
 
 
 class InstanceKind(NamedTuple):
-    """Instances of one pool that are ordered together; on-demand if not reclaimable."""
+    """Upstreams of one pool that are ordered together; on-demand if not reclaimable."""
 
     data_centre: str
     reclaimable: bool
@@ -122,21 +123,21 @@
         self.meter = WorkMeter()
         self._denied_until = {}
         self._scarce_until = float("-inf")
-        # Pairs of time and number of required on-demand instances, over
+        # Pairs of time and number of required on-demand upstreams, over
         # KEEP_ON_DEMAND_FOR.
         self._shortfalls = deque()
         self._ordered = {}
         self._refusals = {}
 
     def reset_orders(self):
-        """Forget all orders, so that they are given again.
+        """Forget all orders, so that they are issued again.
 
-        Another instance may have given different orders in the meantime.
+        Another instance may have issued different orders in the meantime.
         """
         self._ordered = {}
 
     def record_denied(self, kind, now):
-        """Record that an order was refused because none are available."""
+        """Record that an order was refused as no upstream of the kind is available."""
         self._refusals[kind] = self._refusals.get(kind, 0) + 1
         wait = DENIED_WAIT * 2 ** (self._refusals[kind] - 1)
         self._denied_until[kind] = now + min(MAX_DENIED_WAIT, wait)
@@ -150,7 +151,7 @@
         self._refusals.pop(kind, None)
 
     def plan(self, fleet, registrations, now):
-        """Return the number of instances to have, by InstanceKind."""
+        """Return the number of upstreams to have, by InstanceKind."""
         present = count_present(registrations)
         self._check_notices(registrations, now)
         centres = sorted(fleet.prices, key=fleet.prices.get)
@@ -174,20 +175,20 @@
         return plan
 
     def _count_on_demand(self, present, rate, now):
-        """Return how many on-demand instances replace missing reclaimable ones.
-
-        The reclaimable instances of one data centre after the other may be reclaimed
-        while no new ones are available. If on-demand instances were ordered only once
-        too few are left, they would start after the last one is gone. So while
-        instances are scarce, the remaining ones must suffice even without the data
-        centre that has most of them; the next reclaim comes later than on-demand
-        instances boot.
+        """Return how many on-demand upstreams replace missing reclaimable ones.
+
+        The reclaimable upstreams of one data centre after the other may be reclaimed
+        while no new ones are available. If on-demand upstreams were ordered only once
+        too few are left, they would start after the last reclaimable one is gone. So
+        while upstreams are scarce, the remaining ones must suffice even without the
+        data centre that has most of them; the next reclaim comes later than on-demand
+        upstreams boot.
         """
         centres = {kind: n for kind, n in present.items() if kind.reclaimable}
         remaining = sum(centres.values())
         if now < self._scarce_until:
             remaining -= max(centres.values(), default=0)
-        needed = max(MIN_INSTANCES, ceil(rate * MIN_HEADROOM))
+        needed = max(MIN_UPSTREAMS, ceil(rate * MIN_HEADROOM))
         self._shortfalls.append((now, max(0, needed - remaining)))
         while now - self._shortfalls[0][0] > KEEP_ON_DEMAND_FOR:
             self._shortfalls.popleft()
@@ -198,7 +199,7 @@
             self._scarce_until = now + SCARCITY_TIME
 
     def list_due_orders(self, fleet, registrations, now):
-        """Return the orders to give now, as pairs of InstanceKind and count."""
+        """Return the orders to issue now, as pairs of InstanceKind and count."""
         present = count_present(registrations)
         due = []
         for kind, count in self.plan(fleet, registrations, now).items():
@@ -212,7 +213,7 @@
 
 
 def count_present(registrations):
-    """Return the number of instances that are not leaving, by InstanceKind."""
+    """Return the number of upstreams that are not leaving, by InstanceKind."""
     present = {}
     for item in registrations:
         if not item.leaving:
@@ -222,7 +223,7 @@
 
 
 def distribute(plan, centres, count, reclaimable, maximum):
-    """Add instances to a plan, one data centre after the other in the given order.
+    """Add upstreams to a plan, one data centre after the other in the given order.
 
     No data centre gets more than ``maximum`` of them.
     """
@@ -235,10 +236,10 @@
 def apply_limits(plan, centre, fleet, remaining):
     """Limit a data centre's total of both kinds to the fleet's minimum and maximum.
 
-    ``remaining`` is the number of reclaimable instances that stay there. On-demand
-    instances don't take their places: they need seconds to boot, and when they were
-    ordered up to the maximum, all serving reclaimable instances were released and for
-    four seconds there were none.
+    ``remaining`` is the number of reclaimable upstreams that stay there. On-demand
+    upstreams don't replace them: they need seconds to boot, and when they were ordered
+    up to the maximum, all serving reclaimable upstreams were released and for four
+    seconds there were none.
     """
     on_demand, reclaimable = InstanceKind(centre, False), InstanceKind(centre, True)
     plan[on_demand] = min(plan[on_demand], max(0, fleet.maximum - remaining))
--- a/src/chervilwing/stored_crashes.py
+++ b/src/chervilwing/stored_crashes.py
@@ -14,7 +14,8 @@
 # Seconds until a crash is written, so that the suspicions of other instances are
 # included and most requests that were in flight beside the cause have been answered.
 COLLECT_FOR = 2.0
-# The same for a crash of a request that is already suspected of another crash.
+# Seconds until a crash is written if one of its requests is already suspected of
+# another crash.
 COLLECT_REPEATED_FOR = 0.4
 # Seconds until a stored crash is rewritten without the requests cleared since: by the
 # instance that wrote it, and by other instances in case the writer is gone.
@@ -25,7 +26,7 @@
 KEEP_DUE_FOR = 3.0
 # Requests stored with one crash, so that a crash fits into one datagram.
 MAX_FINGERPRINTS = 128
-# Number of crashes in the store from which no more are added.
+# Number of crashes in the store at which no further crashes are added.
 MAX_STORED = 256
 
 
--- a/src/chervilwing/upstream_limits.py
+++ b/src/chervilwing/upstream_limits.py
@@ -22,8 +22,8 @@
 SEEK_TIME = 1.0
 # Seconds for which the end of a limit is reported, so that all instances receive it.
 KEEP_ENDED_FOR = 10.0
-# Seconds for which a limit is kept after its upstream's registration, which may lapse
-# while the store is unavailable.
+# Seconds for which a limit is kept after its upstream's registration has lapsed. A
+# registration may lapse while the store is unavailable, although the upstream runs.
 KEEP_UNREGISTERED_FOR = 30.0
 # Seconds between two checks for expired limits.
 EXPIRE_INTERVAL = 1.0
@@ -82,11 +82,12 @@
         self._next_expire = float("-inf")
 
     def record_answer(self, upstream, limit, sent_at, now):
-        """Update an upstream's limit from an answer; see AnswerStatus.
+        """Update an upstream's limit from an answer.
 
-        ``limit`` is infinity if the answer states that there is none, and None if it
-        says nothing. Answers may overtake each other, so an answer without a limit ends
-        it only if its request was sent after the limit became known.
+        ``limit`` is that of dialects.AnswerStatus: infinity if the answer states that
+        there is no limit, and None if it states nothing. Answers may overtake each
+        other, so an answer without a limit ends a limit only if its request was sent
+        after the limit became known.
         """
         if limit is None:
             return
--- a/src/chervilwing/upstream_states.py
+++ b/src/chervilwing/upstream_states.py
@@ -4,9 +4,10 @@
 
 from .costs import update_average
 
-# Seconds after which a failure counts half, for an upstream that passes health checks
-# but fails part of its calls. Without decay it would never be tried again; if it were
-# tried every second, every tenth caller would fail.
+# Half-life of the failure rate in seconds. Without decay, an upstream that once failed
+# would never be used again. An upstream that passes health checks but fails part of its
+# calls must not be used again too soon: with a retry every second, every tenth caller
+# would fail.
 FAILURE_HALF_LIFE = 4.0
 # Weight of one attempt's outcome in the failure rate.
 FAILURE_WEIGHT = 0.25
--- a/tests/crash_fleet.py
+++ b/tests/crash_fleet.py
@@ -64,7 +64,7 @@
 
 
 class Node:
-    """One instance: its records, and the instances that it asks for news."""
+    """One instance: its records, and the instances that it asks for reports."""
 
     def __init__(self, name, centre, now):
         self.name = name
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -15,7 +15,7 @@
 ANSWER_TIME = (0.05, 0.6)
 # Seconds until the instance that chooses upstreams has answered.
 PLACING_TIME = (0.001, 0.01)
-# Seconds after which a question without an answer counts as lost.
+# Seconds after which an ask without an answer counts as lost.
 ANSWER_TIMEOUT = 0.03
 # Seconds after a fault until an instance counts as in contact with the others again,
 # and seconds after an answer with a limit until its receiver has to comply with it.
@@ -100,7 +100,7 @@
         if placer == name:
             self._send(name, self._choose_for(name), tries)
         elif placer is None or self.rng.random() < self.lost_questions:
-            self._call_later(ANSWER_TIMEOUT, self._send_alone, name, tries)
+            self._call_later(ANSWER_TIMEOUT, self._send_without_placer, name, tries)
         else:
             upstream = self._choose_for(placer)
             wait = self.rng.uniform(*PLACING_TIME)
@@ -141,7 +141,7 @@
         limits.charge(upstream, self.now)
         return upstream
 
-    def _send_alone(self, name, tries):
+    def _send_without_placer(self, name, tries):
         if name in self.nodes and not self._is_frozen(name):
             self._send(name, self._choose_upstream(name), tries)
 
@@ -178,7 +178,7 @@
         self._call_later(wait, self._answer, name, upstream, self.now, again)
 
     def _answer(self, name, upstream, sent_at, again):
-        """Deliver the begin of an answer, which states its upstream's limit."""
+        """Deliver the beginning of an answer, which states its upstream's limit."""
         state = self.upstreams[upstream]
         self.in_flight[upstream] -= 1
         limit = inf if state.limit is None else state.limit
--- a/tests/outdated_loads.py
+++ b/tests/outdated_loads.py
@@ -23,7 +23,7 @@
 ENGINE_RATE = 36_000.0
 TOKEN_SECONDS = 0.009
 SNAPSHOT_INTERVAL = 0.05
-# Seconds until a placer's answer arrives, and until a report of a request's begin or
+# Seconds until a placer's answer arrives, and until a report of a request's start or
 # end reaches the placer.
 ASK_TIME = 0.003
 REPORT_TIME = 0.03
@@ -103,7 +103,7 @@
         self._age = age
         self._load = load
         self._snapshots = deque()
-        self._order = count()
+        self._event_numbers = count()
         self._queue = []
 
     def _make_pool(self, seed):
@@ -137,10 +137,10 @@
         }
 
     def _push(self, at, action, *args):
-        heapq.heappush(self._queue, (at, next(self._order), action, args))
+        heapq.heappush(self._queue, (at, next(self._event_numbers), action, args))
 
     def _report_loads(self, now):
-        """Give each gateway the loads that the others had some time ago."""
+        """Give each gateway the loads that the other gateways had some time ago."""
         loads = [
             {
                 name: upstream_state.own_load
@@ -181,7 +181,7 @@
         self._push(
             now + self.rng.expovariate(kind.per_second * self._load), self._arrive, kind
         )
-        number = next(self._order)
+        number = next(self._event_numbers)
         own = max(50, int(kind.own * self.rng.lognormvariate(-0.3, 0.8)))
         shared = f"{kind.name}s{self.rng.randrange(kind.shared[1])}"
         subject = f"{kind.name}j{self.rng.randrange(kind.subject[1])}"
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -186,7 +186,7 @@
         self.assertIn("u0", later)
 
     def test_all_upstreams_are_used_when_all_fail(self):
-        # If all upstreams fail alike, the failures tell nothing about any single one.
+        # If all upstreams fail alike, avoiding any one of them gains nothing.
         pool = make_pool(PAGES, count=3)
         for upstream_state in pool.upstream_states.values():
             for _ in range(6):
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -112,8 +112,8 @@
         self.assertEqual(other.count("f", 1.0), 0)
 
     def test_a_popular_request_that_gets_answers_is_not_barred(self):
-        # A popular document is in flight at every upstream at any time, and so also at
-        # those that crash.
+        # Requests for a popular document run at every upstream at any time, so each
+        # crash makes them suspected.
         for number in range(CRASH_LIMIT * 2):
             self.records.clear("f", float(number))
             self.prove("f", f"u{number}", now=number + 0.5)
@@ -208,7 +208,7 @@
         self.prove("f", "u1")
         # Another instance of the group reports a moment later. So does an instance of
         # another group, whose own leader writes that suspicion.
-        self.records.apply_reports(CrashReport("g", "u1", 0.0), 0.2, near=True)
+        self.records.apply_reports(CrashReport("g", "u1", 0.0), 0.2, from_group=True)
         self.records.apply_reports(CrashReport("h", "u1", 0.0), 0.2)
         self.assertIsNone(self.pop(0.3))
         crash = self.pop(COLLECT_FOR)
--- a/tests/test_crash_records_model.py
+++ b/tests/test_crash_records_model.py
@@ -8,7 +8,7 @@
 # Instances, engines and harmless requests per second.
 SIZES = ((1, 5, 10), (8, 5, 40), (67, 30, 150), (320, 60, 200))
 # Number of times that a crashing request may be sent by instances in contact with the
-# others, counted from some seconds after its third crash.
+# other instances, counted from some seconds after its third crash.
 MAX_LATE = 3
 # Further crashes that are allowed, by copies sent before the third crash was known.
 MAX_IN_TRANSIT = 3
@@ -100,7 +100,8 @@
         self.check_all(check, CRASHING)
 
     def test_a_popular_request_is_not_refused_because_of_a_crashing_one(self):
-        # One document is in flight at every engine at any time, and so at each crash.
+        # Requests for one document run at every engine at any time, so some of them are
+        # in flight at each crash.
         # The check is skipped where hundreds of instances share few requests and many
         # of them are cut off or restart: most of them then have seen no answer.
         def check(fleet, fault):
--- a/tests/test_limited_upstreams_model.py
+++ b/tests/test_limited_upstreams_model.py
@@ -24,8 +24,8 @@
 WINDOW = 4.0
 SETTLE = 3.0
 # Least fraction of a limit that is used while more requests arrive, and least fraction
-# of its usual share that an upstream gets from BACK_AFTER seconds after its limit's end
-# on.
+# of its usual share of requests that an upstream gets, starting BACK_AFTER seconds
+# after its limit has ended.
 USED_FRACTION = 0.8
 SHARE_FRACTION = 0.5
 BACK_AFTER = 2.0
@@ -86,8 +86,8 @@
                 fleet = self.run_limited(size, 30.0, rate=400.0)
                 self.check(fleet, 30.0)
 
-    def test_retries_and_instances_that_choose_alone_count_too(self):
-        # Half of the requests are retried, and a third of the questions to the placer
+    def test_retries_and_instances_that_choose_without_a_placer_count_too(self):
+        # Half of the requests are retried, and a third of the asks to the placer
         # are lost.
         for size in (3, 8, 67):
             with self.subTest(size=size):
@@ -127,9 +127,9 @@
 
 
 FAULTS = (cut_some, cut_all, cut_centre, heal, restart_some, freeze_some, add_some)
-# Sum of the fractions that instances use when half as many instances are added again
-# and the old ones don't know of them yet, and so keep their larger fractions.
-MAX_PARTS = 1.5
+# Sum of the instances' fractions of a limit after their number has grown by half, while
+# the old instances don't know of the new ones and keep their larger fractions.
+MAX_FRACTIONS_SUM = 1.5
 
 
 class TestFaults(unittest.TestCase):
@@ -141,7 +141,7 @@
                 with self.subTest(size=size, seed=seed, limit=limit):
                     fleet = self.run_faults(size, limit, seed)
                     most = fleet.count_most_in_window("u0", WINDOW)
-                    self.assertLessEqual(most, compute_bound(limit, MAX_PARTS))
+                    self.assertLessEqual(most, compute_bound(limit, MAX_FRACTIONS_SUM))
                     self.assertLessEqual(most, compute_tolerated(limit))
 
     def run_faults(self, size, limit, seed):
--- a/tests/test_placing_model.py
+++ b/tests/test_placing_model.py
@@ -76,8 +76,9 @@
         self.check_all(check)
 
     def test_placed_requests_without_reports_expire(self):
-        # Reports of requests that began or ended are lost, or their sender is. Each one
-        # would make the upstream look busier, until no request was sent there.
+        # Reports of requests that began or ended are lost, or the instance that sends
+        # them fails. If such requests counted forever, the upstream would look busier
+        # with each of them, until no request was sent there.
         def check(fleet):
             for instance in fleet.list_living():
                 loads = {
@@ -105,7 +106,7 @@
                     self.assertTrue(name == placer or "u0" not in names)
 
     def test_a_cut_off_data_centre_uses_its_own_placer(self):
-        # After two asks without an answer, and maybe a third one already under way, an
+        # After two asks without an answer, and maybe a third one already sent, an
         # instance asks a placer in its own data centre. If it went through all placers
         # in order, each unreachable one would delay two requests of every instance.
         fleet = Fleet(9, ENGINES, seed=3)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -26,8 +26,8 @@
 TOLERATED_FRACTION, TOLERATED_MORE = 0.1, 50
 # Seconds after the 50th bad answer from which a bad version gets no requests.
 ROLLED_BACK_IN = 5.0
-# Seconds until all instances know a decision, and until the holder of the duties knows
-# the answers.
+# Seconds until all instances know a decision, and until the holder of the duty lease
+# knows the answers.
 DECISION_AGE, ANSWER_AGE = 1.3, 1.2
 EVALUATE_INTERVAL = 0.5
 ORDER = RolloutOrder("engines", "v2", 12.0)
@@ -81,9 +81,10 @@
             with self.subTest(state=state, drawn=drawn):
                 self.expect(state, drawn, excluded)
 
-    def test_an_instance_without_news_sends_no_trial_requests(self):
+    def test_an_instance_with_outdated_decisions_sends_no_trial_requests(self):
         # An instance that is cut off from the store doesn't learn that a version was
-        # rolled back, and would go on sending requests to it.
+        # rolled back. Without a bound on the age of its decisions, it would go on
+        # sending requests to that version.
         later = MAX_DECISION_AGE + 0.1
         for state in (RUNNING, SHIFTING):
             self.expect(state, 0.01, NEW, now=later)
--- a/tests/test_sizing.py
+++ b/tests/test_sizing.py
@@ -1,4 +1,4 @@
-"""Numbers of instances ordered: reclaims, scarcity, refused, lost and late orders."""
+"""Numbers of upstreams ordered: reclaims, scarcity, refused, lost and late orders."""
 
 import unittest
 
@@ -24,7 +24,7 @@
     """Return registrations of a pool.
 
     ``reclaimable`` is the number per data centre, ``others`` names the data centres of
-    on-demand instances, ``leaving`` those whose reclaimable instances are leaving.
+    on-demand upstreams, ``leaving`` those whose reclaimable upstreams are leaving.
     """
     members = []
     for centre in CENTRES:
@@ -42,7 +42,7 @@
 
 
 def count(plan, reclaimable):
-    """Return a plan's number of reclaimable or of on-demand instances."""
+    """Return a plan's number of reclaimable or of on-demand upstreams."""
     return sum(n for kind, n in plan.items() if kind.reclaimable == reclaimable)
 
 
@@ -58,16 +58,16 @@
         """Return the plan for these members."""
         return self.sizing.plan(FLEET, members, now)
 
-    def test_without_notices_only_reclaimable_instances_are_ordered(self):
-        # An on-demand instance costs as much as five reclaimable ones, and these
+    def test_without_notices_only_reclaimable_upstreams_are_ordered(self):
+        # An on-demand upstream costs as much as five reclaimable ones, and these
         # already suffice for the loss of a data centre.
         plan = self.plan(make_members())
         self.assertEqual(count(plan, True), 6)
         self.assertEqual(count(plan, False), 0)
 
     def test_a_first_notice_orders_little_while_another_loss_is_bearable(self):
-        # Four instances in two data centres carry the work, and two still would.
-        # On-demand instances ordered at the first notice would be idle for as long as
+        # Four upstreams in two data centres do the work, and two could still do it.
+        # On-demand upstreams ordered at the first notice would be idle for as long as
         # reclaimable ones are unavailable.
         plan = self.plan(make_members(leaving=("b",)))
         self.assertEqual(count(plan, False), 1)
@@ -77,9 +77,9 @@
         members = make_members(reclaimable=3, leaving=("b",))
         self.assertEqual(count(fewer.plan(FLEET, members, 0.0), False), 0)
 
-    def test_a_second_notice_orders_enough_on_demand_instances(self):
-        # One data centre after the other loses its reclaimable instances within ten
-        # seconds, and no new ones are available. If on-demand instances were ordered
+    def test_a_second_notice_orders_enough_on_demand_upstreams(self):
+        # One data centre after the other loses its reclaimable upstreams within ten
+        # seconds, and no new ones are available. If on-demand upstreams were ordered
         # only when the last ones leave, every caller would wait while they boot.
         members = make_members(leaving=("a", "b"))
         self.assertGreaterEqual(count(self.plan(members), False), 3)
@@ -92,7 +92,7 @@
         self.sizing.record_denied(InstanceKind("b", True), 0.0)
         self.assertGreaterEqual(count(self.plan(members, 1.0), False), 1)
 
-    def test_on_demand_instances_are_released_once_scarcity_ends(self):
+    def test_on_demand_upstreams_are_released_once_scarcity_ends(self):
         self.plan(make_members(leaving=("a", "b")), 0.0)
         members = make_members(others=("a", "c", "b"))
         self.assertGreaterEqual(
@@ -112,7 +112,8 @@
         self.assertIn(kind, due)
 
     def test_repeated_refusals_increase_the_wait(self):
-        # For twenty seconds no instances are available, and each order costs money.
+        # No upstreams are available for twenty seconds. If the order were repeated at a
+        # constant interval, each repetition would cost money.
         kind, asked, now = InstanceKind("b", True), 0, 0.0
         while now < 30.0:
             if kind in dict(self.sizing.list_due_orders(FLEET, make_members(), now)):
@@ -139,15 +140,15 @@
         self.assertEqual(self.order_all(fewer, 20.0), [(InstanceKind("b", True), 2)])
         self.assertEqual(self.order_all(fewer, 21.0), [])
 
-    def test_a_new_holder_of_the_duties_gives_all_orders_again(self):
+    def test_a_new_holder_of_the_duty_lease_issues_all_orders_again(self):
         members = make_members()
         self.order_all(members, 0.0)
         self.sizing.reset_orders()
         self.assertEqual(len(self.order_all(members, 1.0)), 6)
 
-    def test_on_demand_instances_never_displace_serving_ones(self):
+    def test_on_demand_upstreams_never_displace_serving_ones(self):
         # After a restart of all processes the first measured work is far too high, and
-        # more is required than the maximum. On-demand instances that fill the maximum
+        # more is required than the maximum. On-demand upstreams that fill the maximum
         # would cause serving reclaimable ones to be released seconds before they boot.
         self.sizing.meter.rate = 6.0
         self.sizing.record_denied(InstanceKind("a", True), 0.0)
@@ -182,13 +183,13 @@
         self.sizing.meter.update({"one": (1, second * rate)}, second)
 
     def ordered(self, now):
-        """Return how many reclaimable engines the due orders ask for in total."""
+        """Return how many reclaimable upstreams the due orders ask for in total."""
         due = self.sizing.list_due_orders(self.fleet, [], now)
         return sum(count for kind, count in due if kind.reclaimable)
 
     def test_a_fraction_of_the_maximum_is_ordered_before_the_work_is_known(self):
-        # With two instances per data centre, as for no work, only one caller in five
-        # was served until the work was measured and more instances had booted.
+        # With two upstreams per data centre, as for no work, only one caller in five
+        # was served until the work was measured and more upstreams had booted.
         self.assertGreaterEqual(self.ordered(0.0), 30)
         for second in range(40):
             self.work(second, 1.0)
@@ -203,7 +204,7 @@
             self.work(second, 14.0)
         self.assertGreaterEqual(self.ordered(3.0), 35)
 
-    def test_a_short_lull_between_bursts_releases_no_instances(self):
+    def test_a_short_lull_between_bursts_releases_no_upstreams(self):
         for second in range(30):
             self.work(second, 8.0)
         high = self.ordered(29.0)
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -68,7 +68,7 @@
         other.merge_reports([("u9", inf, 0.1)], 10.0)
         self.assertEqual(other.list_reports(10.0), [])
 
-    def test_a_limit_is_kept_for_a_while_after_its_registration(self):
+    def test_a_limit_is_kept_for_a_while_after_its_upstreams_registration_lapsed(self):
         # Registrations lapse while the store is unavailable and are written again.
         now = 10.0
         while now < 10.0 + 2 * KEEP_UNREGISTERED_FOR:
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -93,7 +93,13 @@
     ),
     Weakness(
         "a crash counts only once it is proved",
-        (Edit("crash_records", "State.ASSUMED, State.PROVED)", "State.PROVED,)"),),
+        (
+            Edit(
+                "crash_records",
+                "SuspicionState.ASSUMED, SuspicionState.PROVED)",
+                "SuspicionState.PROVED,)",
+            ),
+        ),
         (CRASHING + "request_that_is_retried_crashes_three_upstreams",),
     ),
     Weakness(
@@ -490,7 +496,7 @@
         ),
         (
             ROLLOUTS + "TestExcludedUpstreams"
-            ".test_an_instance_without_news_sends_no_trial_requests",
+            ".test_an_instance_with_outdated_decisions_sends_no_trial_requests",
         ),
     ),
     Weakness(
@@ -608,7 +614,7 @@
         "others are ordered only once too few are left",
         (Edit("sizing", "if now < self._scarce_until:", "if False:"),),
         (
-            SIZING + "a_second_notice_orders_enough_on_demand_instances",
+            SIZING + "a_second_notice_orders_enough_on_demand_upstreams",
             SIZING + "a_refused_order_counts_as_scarcity",
         ),
     ),
