--- a/src/chervilwing/attempts.py
+++ b/src/chervilwing/attempts.py
@@ -45,7 +45,7 @@
     return {name: value for name, value in headers.items() if name not in HOP_BY_HOP}
 
 
-def compute_idle_limit(spec, instances):
+def compute_max_idle_connections(spec, instances):
     """Return how many idle connections this instance may keep to one upstream.
 
     An upstream limits its connections from all instances together and resets the
@@ -110,7 +110,7 @@
         route = relay.route
         context = AttemptContext(
             relay.upstream_state.registration.name,
-            relay.name,
+            relay.organisation_name,
             relay.deadline - now,
             relay.priority,
             relay.events.last_id if relay.events else "",
@@ -130,7 +130,9 @@
             probe_if_silent=False,
             host=relay.headers.get("host", ""),
             max_idle_time=max_idle_time,
-            max_idle=compute_idle_limit(relay.pool.spec, self._retries.instances),
+            max_idle=compute_max_idle_connections(
+                relay.pool.spec, self._retries.instances
+            ),
             is_answer=lambda head: self._dialect.belongs_to(
                 head, relay.demand.request_id
             ),
@@ -146,7 +148,9 @@
             return
         self._gateway.crash_detection.handle_answered(relay)
         if not answer_status.authentic:
-            self._abort_attempt(relay, "The answer is not the upstream's own.")
+            self._abort_attempt(
+                relay, "The answer was not sent by the upstream itself."
+            )
             return
         is_stream = status == HTTP_OK and headers.get("content-type", "").startswith(
             EVENT_STREAM
@@ -192,7 +196,7 @@
         return not relay.attempts or self._retries.may_retry(relay.pool.spec.name)
 
     def _on_data(self, relay, data):
-        self._record_start(relay)
+        self._record_answer_started(relay)
         status, headers = relay.answer
         if status == HTTP_OK and relay.exchange.started:
             self._forward(relay, data)
@@ -220,7 +224,7 @@
         )
         relay.exchange.write(relay.take_buffered())
 
-    def _record_start(self, relay):
+    def _record_answer_started(self, relay):
         if relay.first_byte_at is None:
             relay.first_byte_at = read_boottime()
         if relay.pool.record_first_byte(
@@ -233,16 +237,16 @@
 
     def _count_usage(self, relay):
         """Report the request as usage once, at the time when it began to run."""
-        if relay.usage_counted or not relay.name:
+        if relay.usage_counted or not relay.organisation_name:
             return
         relay.usage_counted = True
         now = read_boottime()
         began = now if relay.route.kind == STREAM else relay.sent_at
-        self._gateway.on_usage(relay.name, now - began)
+        self._gateway.on_usage(relay.organisation_name, now - began)
 
     def _on_done(self, relay):
         status, headers = relay.answer
-        self._record_start(relay)
+        self._record_answer_started(relay)
         failed = status >= MIN_SERVER_ERROR
         if relay.events is not None and relay.events.has_partial:
             self._gateway.crash_detection.handle_broken(relay, read_boottime())
@@ -328,7 +332,7 @@
             self._finish(relay, status, headers)
             return
         if relay.may_have_run and exc.outcome == NOT_RUN:
-            exc = UpstreamFailed("An attempt broke off and may have run.")
+            exc = UpstreamFailed("An attempt failed, and the request may have run.")
         elif not relay.may_have_run:
             self._gateway.refund(relay, read_boottime())
             if exc.status not in NOT_RUN_STATUSES:
--- a/src/chervilwing/gateway_settings.py
+++ b/src/chervilwing/gateway_settings.py
@@ -166,8 +166,8 @@
 def parse_settings_file(text):
     """Return a dict of the lines ``VARIABLE=value``; other lines are ignored.
 
-    A platform leaves a value that it doesn't have empty except for its unit. Such a
-    line is ignored too, and the default applies.
+    If a platform has no value for a setting, it writes an empty one, possibly with the
+    unit ``ms``. Such a line is ignored too, and the default applies.
     """
     lines = (line.strip() for line in text.splitlines())
     pairs = (line.partition("=") for line in lines if not line.startswith("#"))
@@ -189,9 +189,9 @@
         values = {field.name: read_field(field, flags, variables) for field in FIELDS}
         for name in REQUIRED:
             if values[name] is None:
-                raise BadSetting(f"--{name.replace('_', '-')}: needed")
+                raise BadSetting(f"--{name.replace('_', '-')}: required")
         if values["store"] is None and not values["routes"]:
-            raise BadSetting("--store: needed, or --routes without a platform")
+            raise BadSetting("--store: required, unless --routes is given")
         return Success(GatewaySettings(**values))
     except BadSetting as exc:
         return Failure(exc)
--- a/src/chervilwing/gatewayd.py
+++ b/src/chervilwing/gatewayd.py
@@ -31,15 +31,15 @@
 from .usage_reports import UsageParts, UsageReporter
 from .web import Web, WebHandlers
 
-# Seconds between ticks: the longest delay of time limits, of the detection of silent
-# connections and of scheduled calls.
+# Seconds between ticks. Time limits, scheduled calls and the detection of silent
+# connections are late by at most this.
 TICK = 0.05
 # Seconds between two reads of the settings file, which may change without a signal.
 RELOAD_INTERVAL = 2.0
 
 
 class GatewayDaemon(BaseComponent):
-    """Own the components of one gateway.
+    """Create, connect and stop the components of one gateway.
 
     ``adapter`` provides the platform's store, API, sources and dialect;
     ``read_settings`` returns the current settings as a Result.
@@ -184,7 +184,8 @@
         """Read the settings again and apply those in RELOADABLE.
 
         The addresses of the platform's store and API may change at run time, and so may
-        the bounds; a listening address or a name needs a restart.
+        the revocation bound and the retry limits; a listening address or a name needs a
+        restart.
         """
         result = self._read_settings()
         if isinstance(result, Failure):
--- a/src/chervilwing/local_stores.py
+++ b/src/chervilwing/local_stores.py
@@ -35,7 +35,7 @@
 
 
 class LocalStore(BaseComponent):
-    """Own the store's items and reload the file whenever it changes.
+    """Hold the store's items and reload the file whenever it changes.
 
     Values read from the file are decoded objects, those that the gateway writes are
     bytes.
--- a/src/chervilwing/platform/__main__.py
+++ b/src/chervilwing/platform/__main__.py
@@ -25,7 +25,10 @@
 
 
 def read_settings():
-    """Return the current settings as a Result; the platform writes the file."""
+    """Return the current settings as a Result.
+
+    They come from flags, environment variables and the platform's settings file.
+    """
     try:
         text = read_file(os.environ.get(FILE_VARIABLE, ""))
     except (OSError, UnicodeDecodeError) as exc:
--- a/src/chervilwing/platform/documents.py
+++ b/src/chervilwing/platform/documents.py
@@ -113,7 +113,10 @@
 
 
 def read_document(key, data):
-    """Return the RoutingDocument, None for another key, or raise BadConfiguration."""
+    """Return the RoutingDocument, or None if the key is not DOCUMENT_KEY.
+
+    Raise BadConfiguration if it is invalid.
+    """
     if key != DOCUMENT_KEY:
         return None
     try:
@@ -130,7 +133,9 @@
 
 
 class RegistrationEntry(msgspec.Struct):
-    """Registration entry that an upstream writes; other types make it invalid.
+    """Registration entry written by an upstream.
+
+    A field of another type makes the entry invalid.
 
     ``coldLeftMs`` is how much longer the upstream is slow after its start, ``seq``
     counts the orders that it has accepted, ``leaves_ms`` is the time until a reclaimed
@@ -180,7 +185,7 @@
 
 
 class RolloutEntry(msgspec.Struct):
-    """Roll-out order of an operator; the service's name is the last part of its key.
+    """Roll-out order of an operator; the service's name is the last part of the key.
 
     ``target`` is the version to which all traffic of the service is to move.
     """
@@ -193,7 +198,10 @@
 
 
 def read_order(key, data):
-    """Return the RolloutOrder, None for another key, or raise BadConfiguration."""
+    """Return the RolloutOrder, or None if the key is not that of a roll-out order.
+
+    Raise BadConfiguration if it is invalid.
+    """
     if not key.startswith(ROLLOUT_ORDER_PREFIX):
         return None
     try:
--- a/src/chervilwing/platform/store.py
+++ b/src/chervilwing/platform/store.py
@@ -85,18 +85,18 @@
 
 
 def decode_page(req, value):
-    """Return the Page of a list; ``storeRevision`` is the revision of the store."""
+    """Return the Page in the reply to a ListItems call."""
     items = tuple(map(read_item, value["items"]))
     return Page(items, value["storeRevision"], value.get("truncated", False))
 
 
 def decode_changes(req, value):
-    """Return the Changes of a watch."""
+    """Return the Changes in the reply to a WatchItems call."""
     return Changes(tuple(map(read_item, value["events"])), value["storeRevision"])
 
 
 def decode_leased(req, value):
-    """Return the Leased of an answer; a renewal's does not contain the lease id."""
+    """Return the Leased in a reply; that to a renewal does not contain the lease id."""
     lease = value.get("lease", getattr(req, "lease", None))
     return Leased(lease, value["ttlMs"] / MS_PER_S)
 
@@ -115,7 +115,7 @@
 
 
 def decode(req, status, body):
-    """Return the reply that an HTTP answer stands for, Unavailable on any error."""
+    """Return the reply that an HTTP response contains, Unavailable on any error."""
     read = DECODERS.get((type(req), status))
     if read is None:
         return Unavailable(f"status {status}")
@@ -126,14 +126,17 @@
 
 
 class PlatformStore:
-    """Send calls to the platform's store and return each reply exactly once."""
+    """Send calls to the platform's store; each callback gets exactly one reply."""
 
     def __init__(self, cfg, client):
         self.cfg = cfg
         self._client = client
 
     def submit(self, req, reply):
-        """Send one call; a lost answer is reported as Unavailable."""
+        """Send one call.
+
+        ``reply`` is called with the reply to it, or Unavailable if that was lost.
+        """
         method, path, body = ENCODERS[type(req)](req)
         wait = req.wait if isinstance(req, WatchItems) else 0.0
         call = Call(
--- a/src/chervilwing/relays.py
+++ b/src/chervilwing/relays.py
@@ -11,7 +11,7 @@
 MAX_BUFFERED_BYTES = 262_144
 
 
-# Kind of scope of a refusal that concerns one customer only.
+# ``Scope.kind`` of a refusal that concerns one customer only.
 CUSTOMER_SCOPE = "customer"
 
 
@@ -48,8 +48,8 @@
 class Relay:
     """State of one request between its caller and its upstreams.
 
-    ``may_have_run`` is set by the first attempt that is not known to have not run; from
-    then on no error may state that the request has not run.
+    ``may_have_run`` is set once an upstream may have run the request; from then on no
+    error may state that it has not run.
     """
 
     __slots__ = (
@@ -93,7 +93,7 @@
         self.received_at = now
         self.deadline = demand.deadline
         self.headers = exchange.req.headers
-        self.fingerprint = make_retry_fingerprint(exchange.req, self.name)
+        self.fingerprint = make_retry_fingerprint(exchange.req, self.organisation_name)
         # Random number from 0 to 1 that decides whether a request is sent to a version
         # that is being rolled out.
         self.rollout_draw = 1.0
@@ -124,7 +124,7 @@
         self.ended = False
 
     @property
-    def name(self):
+    def organisation_name(self):
         """Return the organisation's name, or an empty text without one."""
         return self.organisation.name if self.organisation else ""
 
@@ -152,7 +152,7 @@
     source = estimate.source if estimate else None
     return RequestLogLine(
         request=relay.demand.request_id,
-        customer=relay.name,
+        customer=relay.organisation_name,
         route=relay.route.name,
         upstream=relay.upstream_state.registration.name if relay.upstream_state else "",
         tries=relay.attempts,
--- a/src/chervilwing/routing_files.py
+++ b/src/chervilwing/routing_files.py
@@ -34,7 +34,7 @@
     targets = tuple(map(read_target, value.pop("pools")))
     route = Route(targets=targets, **value)
     if route.kind not in KINDS:
-        raise ValueError(f"route {route.name}: kind is none of {', '.join(KINDS)}")
+        raise ValueError(f"route {route.name}: kind must be one of {', '.join(KINDS)}")
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
         raise ValueError(f"route {route.name}: prefix needs a slash at both ends")
     return route._replace(host=route.host.lower())
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -31,14 +31,14 @@
     """State of the store, and the recorded calls to the API."""
 
     def __init__(self, options):
-        # ``deaf``: watches report no events. ``lose_writes``: this many writes are
-        # carried out, but their answers are lost. ``turn_away``: all calls to the store
-        # but the operator's are refused.
+        # ``report_no_events``: watches report no events. ``lose_writes``: this many
+        # writes are carried out, but their answers are lost. ``refuse_calls``: all
+        # calls to the store but the operator's are refused.
         self.switches = Switches(
-            turn_away=False,
+            refuse_calls=False,
             silent=False,
             lose_writes=0,
-            deaf=False,
+            report_no_events=False,
             refuse_orders=False,
         )
         self.switches.react = self.notify_watches
@@ -111,7 +111,7 @@
         await state.end_leases()
         if state.switches["silent"]:
             await asyncio.Event().wait()
-        if state.switches["turn_away"]:
+        if state.switches["refuse_calls"]:
             return reply({"error": "busy"}, UNAVAILABLE)
         return await handler(state, request)
 
@@ -136,11 +136,13 @@
         return reply({"error": "compacted"}, 410)
 
     def find():
-        return None if state.switches["deaf"] else state.select(prefix, after)
+        return (
+            None if state.switches["report_no_events"] else state.select(prefix, after)
+        )
 
     wait = int(request.query["waitMs"]) / 1000
     events = await wait_until(find, lambda: state.changed, wait) or []
-    if state.switches["turn_away"] or after < state.compacted_revision:
+    if state.switches["refuse_calls"] or after < state.compacted_revision:
         await drop(request)
     return reply({"events": events, "storeRevision": state.revision})
 
--- a/tests/fakes/relay.py
+++ b/tests/fakes/relay.py
@@ -13,7 +13,9 @@
 
 def add_options(parser):
     """Add the command-line flags of this fake."""
-    parser.add_argument("--to", default="", help="HOST:PORT; or by the switch to")
+    parser.add_argument(
+        "--to", default="", help="HOST:PORT to relay to; the switch to can change it"
+    )
 
 
 class Network:
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -94,12 +94,14 @@
             self.gateway.configure(document)
         self.upstreams = [RawUpstream(script) for script in scripts]
         for number, upstream in enumerate(self.upstreams):
-            self.gateway.put_upstream(self.register(f"u{number}", upstream.port))
+            self.gateway.put_upstream(
+                self.make_registration(f"u{number}", upstream.port)
+            )
         self._open = True
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
-    def register(self, name, port, **fields):
+    def make_registration(self, name, port, **fields):
         """Return the Registration of an upstream on loopback."""
         return Registration(name, "web", Address(HOST, port), "a", 8, **fields)
 
--- a/tests/resuming.py
+++ b/tests/resuming.py
@@ -33,7 +33,10 @@
         self.status, self.body, self.problem = 0, b"", ""
 
     def copy(self, headers, repeat):
-        """Return the same request with other headers; a reconnect unless ``repeat``."""
+        """Return a Reader of the same request with other headers.
+
+        It resumes after the last received event, or with ``repeat`` from the start.
+        """
         other = Reader(self.request_id, self.prompt, self.count, self.stream, headers)
         other.last = None if repeat else self.last
         return other
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -37,7 +37,7 @@
         self.upstreams = [CrashingUpstream(begins) for _ in range(TRIES * 3)]
         for number, upstream in enumerate(self.upstreams):
             self.addCleanup(upstream.close)
-            found = self.run_.register(f"u{number}", upstream.port)
+            found = self.run_.make_registration(f"u{number}", upstream.port)
             self.run_.gateway.put_upstream(found)
 
     def repeat(self, path, **headers):
@@ -168,7 +168,7 @@
     def test_a_crash_still_counts_after_the_registration_has_lapsed(self):
         run, _ = self.start_crashed()
         watch = run.gateway.crash_detection
-        # No registration lapses while the store is away and some seconds after that.
+        # No registration lapses while the store is unavailable and some seconds after.
         for since in (read_boottime() + 1.0, float("inf")):
             run.gateway.registrations_fresh_since = lambda since=since: since
             watch.clear_registered(read_boottime() + LAPSED_AFTER + 0.1)
@@ -183,14 +183,14 @@
         upstream = CrashingUpstream()
         self.addCleanup(upstream.close)
         run = self.start()
-        run.gateway.put_upstream(run.register("u0", upstream.port))
+        run.gateway.put_upstream(run.make_registration("u0", upstream.port))
         upstream.script = lambda *request: self.leave(upstream)
         self.assertEqual(run.call("POST", "/note/x", b"n").status, 502)
         self.assertEqual(self.count(b"n"), 0)
 
     def leave(self, upstream):
         """Register an upstream as leaving, then close it."""
-        found = self.run_.register("u0", upstream.port, leaving=True)
+        found = self.run_.make_registration("u0", upstream.port, leaving=True)
         self.run_.gateway.put_upstream(found)
         upstream.close()
 
@@ -201,7 +201,7 @@
         self.addCleanup(upstream.close)
         upstream.script = lambda *request: None
         run = self.start()
-        run.gateway.put_upstream(run.register("u0", upstream.port))
+        run.gateway.put_upstream(run.make_registration("u0", upstream.port))
         with Caller(run.port) as caller:
             head = "POST /note/x HTTP/1.1\r\nHost: a.example\r\n"
             head += "Authorization: Bearer k1\r\nContent-Length: 1\r\n\r\n"
@@ -220,12 +220,12 @@
         self.addCleanup(first.close)
         self.addCleanup(second.close)
         run = self.start()
-        run.gateway.put_upstream(run.register("u0", first.port))
+        run.gateway.put_upstream(run.make_registration("u0", first.port))
         run.call("POST", "/note/x", CRASHING)
         self.assertEqual(self.count(CRASHING), 1)
         run.gateway.remove_upstream("u0", float("-inf"))
         second.script = lambda conn, *rest: end_unframed(second, conn)
-        run.gateway.put_upstream(run.register("u1", second.port))
+        run.gateway.put_upstream(run.make_registration("u1", second.port))
         self.assertEqual(run.call("POST", "/note/x", CRASHING).status, 200)
         self.assertEqual(self.count(CRASHING), 1)
         # Its registration lapses and it refuses connections, so it has crashed.
@@ -236,7 +236,7 @@
         upstream = CrashingUpstream()
         self.addCleanup(upstream.close)
         run = self.start()
-        run.gateway.put_upstream(run.register("u0", upstream.port))
+        run.gateway.put_upstream(run.make_registration("u0", upstream.port))
         run.call("POST", "/note/x", CRASHING)
         self.assertEqual(self.count(CRASHING), 1)
         # The registration of the crashed upstream lasts some seconds longer.
@@ -252,7 +252,7 @@
             upstream = CrashingUpstream()
             self.addCleanup(upstream.close)
             run.gateway.remove_upstream_now("u0")
-            run.gateway.put_upstream(run.register("u0", upstream.port))
+            run.gateway.put_upstream(run.make_registration("u0", upstream.port))
             self.assertEqual(run.call("POST", "/note/x", b"n").status, 200)
             self.assertEqual(run.call("POST", "/note/x", CRASHING).status, 502)
             self.assertEqual(self.count(CRASHING), number + 1)
@@ -264,11 +264,11 @@
         self.addCleanup(upstream.close)
         upstream.script = lambda *request: None
         run = self.start()
-        run.gateway.put_upstream(run.register("u0", upstream.port))
+        run.gateway.put_upstream(run.make_registration("u0", upstream.port))
         caller = threading.Thread(target=run.call, args=("POST", "/note/x", b"n"))
         caller.start()
         poll(lambda: upstream.seen)
-        again = run.register("u0", upstream.port, started_at=9.0)
+        again = run.make_registration("u0", upstream.port, started_at=9.0)
         run.gateway.put_upstream(again)
         self.assertEqual(self.count_now(b"n"), 1)
         upstream.close()
@@ -280,17 +280,17 @@
         self.addCleanup(first.close)
         self.addCleanup(second.close)
         run = self.start()
-        run.gateway.put_upstream(run.register("u0", first.port))
+        run.gateway.put_upstream(run.make_registration("u0", first.port))
         first.script = lambda *request: None
         beside = threading.Thread(target=run.call, args=("POST", "/page/x", b"n"))
         beside.start()
         poll(lambda: first.seen)
         first.script = lambda *request: first.close()
-        run.gateway.put_upstream(run.register("u1", second.port, leaving=True))
+        run.gateway.put_upstream(run.make_registration("u1", second.port, leaving=True))
         run.call("POST", "/note/x", CRASHING)
         beside.join()
         poll(lambda: self.count_now(b"n", "/page/x") == 1)
-        run.gateway.put_upstream(run.register("u1", second.port))
+        run.gateway.put_upstream(run.make_registration("u1", second.port))
         self.assertEqual(run.call("POST", "/page/x", b"n").status, 200)
         self.assertEqual(self.count_now(b"n", "/page/x"), 0)
         self.assertEqual(self.count_now(CRASHING), 1)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -6,7 +6,7 @@
 import time
 import unittest
 
-from chervilwing.attempts import compute_idle_limit
+from chervilwing.attempts import compute_max_idle_connections
 from chervilwing.platform.headers import DIALECT
 from chervilwing.routing import Organisation, PoolSpec
 from tests.gateways import GatewayThread, make_document
@@ -73,13 +73,15 @@
     def start_with_second_closed(self, *scripts):
         """Start with two upstreams, the second of which accepts no requests yet."""
         run = self.start(*scripts)
-        second = run.register("u1", run.upstreams[1].port, leaving=True)
+        second = run.make_registration("u1", run.upstreams[1].port, leaving=True)
         run.gateway.put_upstream(second)
         return run
 
     def open_second_upstream(self):
         """Make the second upstream accept requests."""
-        second = self.gateway_run.register("u1", self.gateway_run.upstreams[1].port)
+        second = self.gateway_run.make_registration(
+            "u1", self.gateway_run.upstreams[1].port
+        )
         self.gateway_run.gateway.put_upstream(second)
 
     def call_until_received(self, index, *args, check):
@@ -192,7 +194,7 @@
     def test_an_instance_keeps_fewer_idle_connections_in_a_larger_fleet(self):
         spec = PoolSpec("web", connections=470)
         for instances, expected in ((7, 8), (68, 2), (320, 1)):
-            self.assertEqual(compute_idle_limit(spec, instances), expected)
+            self.assertEqual(compute_max_idle_connections(spec, instances), expected)
 
 
 class TestRefusals(GatewayCase):
@@ -212,8 +214,8 @@
         self.assertEqual(self.count_received(), [0])
 
     def test_stale_keys_are_refused(self):
-        # An instance is cut off from the store while a key is revoked: it would accept
-        # the key until the connection returns.
+        # An instance is cut off from the store while a key is revoked. If it kept using
+        # its copy of the keys, it would accept the key until the connection returns.
         run = self.start(answer(), keys_are_fresh=lambda: False)
         self.assertEqual(run.call("GET", "/page/x").status, 503)
         self.assertEqual(self.count_received(), [0])
@@ -258,7 +260,7 @@
 
     def test_an_unreachable_upstream_is_replaced_by_another(self):
         run = self.start(answer())
-        run.gateway.put_upstream(run.register("gone", 1))
+        run.gateway.put_upstream(run.make_registration("gone", 1))
         for _ in range(4):
             self.assertEqual(run.call("POST", "/note/x", b"n").status, 200)
 
@@ -266,7 +268,7 @@
         # A data centre is cut off and none of its upstreams can be reached. After a
         # status that leaves open whether the note has run, its caller may not retry it.
         run = self.start()
-        run.gateway.put_upstream(run.register("gone", 1))
+        run.gateway.put_upstream(run.make_registration("gone", 1))
         response = run.call("POST", "/note/x", b"n")
         self.assertEqual(response.status, 503)
         self.assertIn("retry-after", response.headers)
@@ -275,7 +277,7 @@
         # The route allows one attempt; two of the three upstreams are unreachable.
         run = self.start(answer())
         for name, port in (("gone1", 1), ("gone2", 2)):
-            run.gateway.put_upstream(run.register(name, port))
+            run.gateway.put_upstream(run.make_registration(name, port))
         for _ in range(4):
             self.assertEqual(run.call("GET", "/short/x").status, 200)
         self.assertEqual(self.count_received(), [4])
@@ -306,7 +308,8 @@
 
     def test_an_answer_to_an_earlier_request_is_discarded(self):
         # A faulty upstream answers a request twice. The second answer arrives while the
-        # next request waits on the connection, whose caller would receive it.
+        # next request waits on the same connection. If it were not discarded, that
+        # request's caller would receive it.
         def answer_twice(conn, method, path, body):
             name = path.rpartition("/")[2].encode()
             head = b"X-Request-Id: %b\r\n"
@@ -416,14 +419,14 @@
 class TestUpstreamChanges(GatewayCase):
     def test_a_leaving_upstream_gets_no_new_work(self):
         run = self.start(answer(b"one"), answer(b"two"))
-        leaving = run.register("u0", run.upstreams[0].port, leaving=True)
+        leaving = run.make_registration("u0", run.upstreams[0].port, leaving=True)
         run.gateway.put_upstream(leaving)
         bodies = {run.call("GET", "/page/x").body for _ in range(6)}
         self.assertEqual(bodies, {b"two"})
 
     def test_a_request_refused_at_a_reassigned_address_is_retried_elsewhere(self):
         # The upstream is gone and another service answers at its address: it refuses
-        # requests for another instance with 421, and the gateway retries elsewhere.
+        # requests for another upstream with 421, and the gateway retries elsewhere.
         def other(conn, method, path, body):
             conn.sendall(b"HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n")
 
@@ -448,7 +451,7 @@
         port = run.upstreams[0].port
         pool = run.gateway.pools["web"]
         old_state = pool.upstream_states["u0"]
-        run.gateway.put_upstream(run.register("u0", port, started_at=9.0))
+        run.gateway.put_upstream(run.make_registration("u0", port, started_at=9.0))
         self.assertIsNot(pool.upstream_states["u0"], old_state)
         self.assertEqual(run.call("POST", "/note/x").status, 200)
         self.assertEqual(len(run.upstreams[0].conns), 2)
--- a/tests/test_gateway_settings.py
+++ b/tests/test_gateway_settings.py
@@ -48,8 +48,8 @@
                 self.assertEqual(self.read(*argv), detail)
 
     def test_empty_values_in_the_file_keep_their_default(self):
-        # A platform without API keys has no bound on their revocation, and its template
-        # leaves the value empty. If that were an error, no instance would start.
+        # A platform writes an empty value, or only the unit, for a setting that it
+        # doesn't have. If that were an error, no instance would start.
         text = FILE + "CHERVILWING_LEASE=ms\nCHERVILWING_CLOUD=\n"
         cfg = self.read(text=text)
         self.assertEqual((cfg.lease, cfg.cloud), (3.0, None))
@@ -57,5 +57,5 @@
     def test_a_missing_required_setting_is_reported(self):
         text = FILE.replace("CHERVILWING_STORE", "CHERVILWING_STALL")
         self.assertEqual(
-            self.read(text=text), "--store: needed, or --routes without a platform"
+            self.read(text=text), "--store: required, unless --routes is given"
         )
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -31,7 +31,7 @@
         self.addCleanup(self.run_.close)
         for number, upstream in enumerate(upstreams):
             self.addCleanup(upstream.close)
-            found = self.run_.register(f"u{number}", upstream.port)
+            found = self.run_.make_registration(f"u{number}", upstream.port)
             self.run_.gateway.put_upstream(found)
 
     def call(self, path):
--- a/tests/test_local_gateway.py
+++ b/tests/test_local_gateway.py
@@ -41,7 +41,7 @@
                 'pools = ["portals"]\nattempts',
                 "portals",
             ),
-            'kind = "stream"': ('kind = "streaming"', "kind is none of"),
+            'kind = "stream"': ('kind = "streaming"', "kind must be one of"),
             'prefix = "/notes/"': ('prefix = "/notes"', "slash"),
             "rate = 100": ("rates = 100", "rates"),
             "version = 1": ("versions = 1", "version"),
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -151,24 +151,24 @@
         # The store refuses the gateway's calls while an operator revokes a key: without
         # a bound, the gateway would accept the key until the store is reachable again.
         gateway = self.start("one", revoke_bound="2")
-        self.platform.fault(turn_away=True)
+        self.platform.fault(refuse_calls=True)
         self.document["version"] = 7
         self.document["tenants"][0]["apiKeys"] = ["k2"]
         self.publish()
         poll(lambda: self.call(gateway) == 503)
         self.assertFalse(self.is_ready(gateway))
-        self.platform.fault(turn_away=False)
+        self.platform.fault(refuse_calls=False)
         poll(lambda: self.call(gateway) == 401)
 
     def test_a_change_in_a_dropped_history_is_applied(self):
         # The store's watches report nothing while a key is revoked; then the store
         # drops its history and cuts the watches, so the change is never reported.
         gateway = self.start("one")
-        self.platform.fault(deaf=True)
+        self.platform.fault(report_no_events=True)
         self.document["version"] = 7
         self.document["tenants"][0]["apiKeys"] = ["k2"]
         self.publish()
-        self.platform.fault(deaf=False)
+        self.platform.fault(report_no_events=False)
         self.platform.post("/-/forget", {})
         poll(lambda: self.call(gateway) == 401)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -23,13 +23,15 @@
         self.addCleanup(network.reserved_sock.close)
         network.released.set()
         network.switches.values["cut"] = True
-        # The accepting side of a connection whose task starts after the cut.
+        # Accept a connection here and start the relay's task for it after the cut.
         accepted = asyncio.get_running_loop().create_future()
-        near = await asyncio.start_server(
+        accepting_server = await asyncio.start_server(
             lambda *streams: accepted.set_result(streams), HOST, 0
         )
-        self.addCleanup(near.close)
-        reader, writer = await asyncio.open_connection(*near.sockets[0].getsockname())
+        self.addCleanup(accepting_server.close)
+        reader, writer = await asyncio.open_connection(
+            *accepting_server.sockets[0].getsockname()
+        )
         self.addCleanup(writer.close)
         connecting = asyncio.create_task(relay.connect(network, *await accepted))
         with self.assertRaises(ConnectionError):
