--- a/src/chervilwing/crash_records.py
+++ b/src/chervilwing/crash_records.py
@@ -119,7 +119,7 @@
         self._alive = OrderedDict()
         # The times at which the latest requests were answered completely.
         self._answered = OrderedDict()
-        # Suspicions to report: the time of the crash, and until when to report it.
+        # The time of the crash of each suspicion to report, and the end of its reports.
         self._reports = {}
         self.stored = StoredCrashes(name, self._count_if_proved)
 
--- a/src/chervilwing/crash_saver.py
+++ b/src/chervilwing/crash_saver.py
@@ -80,7 +80,7 @@
         log_event("crash stored", upstream=write.crash.upstream, suspected=count)
 
     def _fail(self, write, reply):
-        """Schedule the write again; a write that did succeed is simply repeated."""
+        """Schedule the write again; repeating a write that succeeded is harmless."""
         now = read_boottime()
         self._busy = False
         self._next_write = now + RETRY_AFTER
--- a/src/chervilwing/placer_selection.py
+++ b/src/chervilwing/placer_selection.py
@@ -44,7 +44,7 @@
 
 
 class Answer(NamedTuple):
-    """Message with the upstream that a placer chose; empty if it chose none.
+    """Message with the upstream that a placer chose, an empty name if it chose none.
 
     ``number`` is that of the Ask, ``name`` the name of the placing instance, and
     ``source`` the name of an upstream; the other fields are those of Estimate.
--- a/src/chervilwing/platform/cloud.py
+++ b/src/chervilwing/platform/cloud.py
@@ -1,4 +1,4 @@
-"""Client of the platform's API: usage reports and instance orders over HTTP."""
+"""Client of the platform's API: usage reports and orders of upstreams over HTTP."""
 
 import msgspec
 
@@ -26,7 +26,7 @@
 def encode_order(req):
     """Return the path and body of an order.
 
-    ``desired`` counts either reclaimable or standard instances, never both together.
+    ``desired`` counts either reclaimable or on-demand upstreams, never both together.
     """
     body = {"service": req.pool, "zone": req.data_centre, "desired": req.count}
     return "/scale", body | ({"spot": True} if req.reclaimable else {})
@@ -42,7 +42,7 @@
     if status != CONFLICT:
         return NoAnswer(status)
     # The API answers an order with 409 both for an outdated fencing token and if no
-    # instances are available; only the text differs.
+    # upstreams are available; only the text differs.
     text = body.decode("latin-1").lower()
     if isinstance(req, OrderInstances) and "fence" not in text:
         return Denied(text)
@@ -50,7 +50,7 @@
 
 
 class PlatformCloud:
-    """Send usage reports and instance orders to the platform's API."""
+    """Send usage reports and orders of upstreams to the platform's API."""
 
     def __init__(self, cfg, client):
         self.cfg = cfg
--- a/src/chervilwing/retry_shares.py
+++ b/src/chervilwing/retry_shares.py
@@ -33,7 +33,7 @@
         return self._level(pool) >= 1.0
 
     def record_retry(self, pool):
-        """Record a retry, which spends one from the share."""
+        """Record a retry, which spends one unit of the share."""
         self._levels[pool] = self._level(pool) - 1.0
 
     def _level(self, pool):
--- a/tests/fakes/relay.py
+++ b/tests/fakes/relay.py
@@ -14,7 +14,7 @@
 def add_options(parser):
     """Add the command-line flags of this fake."""
     parser.add_argument(
-        "--to", default="", help="HOST:PORT to relay to; the switch to can change it"
+        "--to", default="", help="HOST:PORT to relay to; the switch 'to' changes it"
     )
 
 
