--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; each module prints its figures and rewrites its section of a page."""
+"""Benchmarks; each prints its results and rewrites its section of a page in docs."""
--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -1,4 +1,4 @@
-"""Requests drawn from a deployment and a load with a fixed seed."""
+"""Draw the requests of a deployment under a load, from a seeded generator."""
 
 from .deployments import (
     ENTRIES,
@@ -8,14 +8,13 @@
     measure_work,
 )
 
-# In the mix of long and short, long work is this many times the usual, the rest
-# this part of it.
-LONG_TIMES = 5.0
-SHORT_TIMES = 0.5
+# Output lengths of long and short requests in mixed loads, relative to the usual one.
+LONG_FACTOR = 5.0
+SHORT_FACTOR = 0.5
 
 
 class Request:
-    """One caller's request and what became of it."""
+    """A request of a caller, its attempts and its result."""
 
     def __init__(self, name, kind, customer, entry, arrival):
         self.name = name
@@ -44,7 +43,7 @@
         self.runs = 0
 
     def is_useful(self):
-        """Tell whether the whole answer came in time and began in time."""
+        """Return whether it finished, with the answer begun within its target."""
         if self.finished is None:
             return False
         began = self.first_token if self.kind.prefix else self.finished
@@ -62,7 +61,7 @@
 
 
 def _draw_pool(pool, kinds, rate, load, rng):
-    mean = load.long_part * LONG_TIMES + (1 - load.long_part) * SHORT_TIMES
+    mean = load.long_part * LONG_FACTOR + (1 - load.long_part) * SHORT_FACTOR
     rate /= mean if load.long_part else 1.0
     now = 0.0
     number = 0
@@ -78,14 +77,14 @@
 def _draw_request(name, kind, load, rng, now):
     customer = rng.choices(list_customers(), load.demand)[0]
     request = Request(name, kind, customer, rng.randrange(len(ENTRIES)), now)
-    times = rng.uniform(0.6, 1.4) * _draw_length(load, rng)
-    request.output = kind.output * times
-    longer = max(0.0, times - 1.4)
+    factor = rng.uniform(0.6, 1.4) * _draw_length(load, rng)
+    request.output = kind.output * factor
+    longer = max(0.0, factor - 1.4)
     request.deadline += longer * kind.deadline
     request.work = measure_work(kind._replace(output=request.output))
     if kind.prefix:
         request.max_tokens = int(request.output * rng.uniform(1.1, 1.9))
-        request.prefix = f"{customer}/{kind.name}/{_draw_popular(rng)}"
+        request.prefix = f"{customer}/{kind.name}/{_draw_prefix(rng)}"
         request.prefix_tokens = kind.prefix
         request.prompt = kind.prefix + int(kind.suffix * rng.uniform(0.5, 1.5))
     return request
@@ -94,9 +93,9 @@
 def _draw_length(load, rng):
     if not load.long_part:
         return 1.0
-    return LONG_TIMES if rng.random() < load.long_part else SHORT_TIMES
+    return LONG_FACTOR if rng.random() < load.long_part else SHORT_FACTOR
 
 
-def _draw_popular(rng):
-    """Return the number of a prefix, a low one more often than a high one."""
+def _draw_prefix(rng):
+    """Return a prefix number; low numbers are drawn more often than high ones."""
     return int(PREFIXES * rng.random() ** 1.5)
--- a/bench/backends.py
+++ b/bench/backends.py
@@ -1,4 +1,4 @@
-"""A paced engine and a bare-socket pass-through, to measure the entry against."""
+"""A paced engine and a bare-socket relay, the baselines for measuring the gateway."""
 
 import json
 import select
@@ -15,14 +15,14 @@
 
 
 def frame(data):
-    """Return one chunk of a chunked answer."""
+    """Return data as one chunk of a chunked HTTP response."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def read_body(data):
-    """Return the JSON body once the whole request is there."""
-    head, mark, body = data.partition(b"\r\n\r\n")
-    if not mark:
+    """Return the JSON body, or None until the whole request was received."""
+    head, separator, body = data.partition(b"\r\n\r\n")
+    if not separator:
         return None
     length = int(head.lower().partition(b"content-length:")[2].split(b"\r\n")[0])
     return json.loads(body) if len(body) >= length else None
@@ -35,7 +35,7 @@
 
 
 def serve_engine(ports, gap):
-    """Write tokens at a fixed pace, all streams in one loop, until killed."""
+    """Send a token to every stream every ``gap`` seconds, until killed."""
     listener, port = listen()
     ports.put(port)
     poller = select.epoll()
@@ -50,14 +50,14 @@
                 poller.register(sock, select.EPOLLIN)
                 waiting[sock.fileno()] = (sock, b"")
                 continue
-            take_input(fd, waiting, jobs, poller)
+            read_request(fd, waiting, jobs, poller)
         if time.monotonic() >= due:
             due = max(due + gap, time.monotonic())
             write_tokens(jobs, waiting)
 
 
-def take_input(fd, waiting, jobs, poller):
-    """Read a request; answer loads at once and queue completions."""
+def read_request(fd, waiting, jobs, poller):
+    """Read a request; answer load queries at once and queue completions."""
     sock, data = waiting[fd]
     try:
         more = sock.recv(CHUNK_SIZE)
@@ -85,7 +85,7 @@
 
 
 def write_tokens(jobs, waiting):
-    """Write the next token of each stream."""
+    """Send the next token of each stream, or its usage and end of stream."""
     for fd, job in list(jobs.items()):
         attempt, index, limit = job
         sock = waiting[fd][0]
@@ -102,29 +102,29 @@
 
 
 def serve_relay(ports, engine_port):
-    """Pass bytes both ways between callers and the engine, with bare sockets."""
+    """Relay bytes in both directions between callers and the engine."""
     listener, port = listen()
     ports.put(port)
     poller = select.epoll()
     poller.register(listener, select.EPOLLIN)
-    other = {}
+    peers = {}
     while True:
         for fd, _ in poller.poll():
             if fd == listener.fileno():
                 sock, _ = listener.accept()
                 peer = socket.create_connection((HOST, engine_port))
-                other[sock.fileno()] = (sock, peer)
-                other[peer.fileno()] = (peer, sock)
+                peers[sock.fileno()] = (sock, peer)
+                peers[peer.fileno()] = (peer, sock)
                 for item in (sock, peer):
                     item.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                     poller.register(item, select.EPOLLIN)
                 continue
-            pass_bytes(fd, other, poller)
+            relay_bytes(fd, peers, poller)
 
 
-def pass_bytes(fd, other, poller):
-    """Pass what one end sent to the other end."""
-    pair = other.get(fd)
+def relay_bytes(fd, peers, poller):
+    """Send the bytes received on one connection to its peer."""
+    pair = peers.get(fd)
     if pair is None:
         return
     data = pair[0].recv(CHUNK_SIZE)
@@ -132,6 +132,6 @@
         pair[1].sendall(data)
         return
     for item in pair:
-        other.pop(item.fileno(), None)
+        peers.pop(item.fileno(), None)
         poller.unregister(item)
         item.close()
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -1,4 +1,4 @@
-"""The brief's two deployments and the work that their callers offer."""
+"""Two example deployments and the work that their callers offer."""
 
 from typing import NamedTuple
 
@@ -30,7 +30,11 @@
 
 
 class Kind(NamedTuple):
-    """A class of work: its rules, its pool, its part of the pool, its sizes."""
+    """A class of work; ``part`` is its share of its pool's requests.
+
+    ``deadline`` and ``first_token`` are in seconds, ``prefix`` and ``suffix`` in
+    tokens; ``output`` is in tokens for a model pool and in seconds for a service.
+    """
 
     name: str
     pool: str
@@ -45,7 +49,7 @@
 
 
 class Deployment(NamedTuple):
-    """One organisation's sizes and kinds of work."""
+    """The pools and kinds of work of one deployment; ``client_delay`` is in seconds."""
 
     name: str
     client_delay: float
@@ -87,7 +91,7 @@
 
 
 def build_configuration(deployment):
-    """Return the configuration that the scheduler is given."""
+    """Return the scheduler's configuration for a deployment."""
     upstreams = list_upstreams(deployment)
     pools = (
         Pool(deployment.model_pool, MODEL),
@@ -123,7 +127,7 @@
 
 
 def measure_work(kind):
-    """Return the slot-seconds that one request takes in a full batch."""
+    """Return the slot-seconds that a request of a kind needs in a full batch."""
     if not kind.prefix:
         return kind.output
     step = MODEL_STEP * (1 + BATCH_PART * (MODEL_SLOTS - 1))
@@ -131,7 +135,7 @@
 
 
 def measure_rate(deployment, pool):
-    """Return the requests a second that keep all slots of a pool busy."""
+    """Return the requests per second that keep all slots of a pool busy."""
     slots = sum(up.slots for up in list_upstreams(deployment) if up.pool == pool)
     kinds = [kind for kind in deployment.kinds if kind.pool == pool]
     parts = sum(kind.part for kind in kinds)
--- a/bench/draws.py
+++ b/bench/draws.py
@@ -1,4 +1,4 @@
-"""Deployments drawn at random from ranges, and the requests that come to them."""
+"""Draw random deployments from ranges, and the requests sent to them."""
 
 import tomllib
 from pathlib import Path
@@ -9,16 +9,20 @@
 
 RANGES = Path(__file__).with_name("drawn.toml")
 CENTRES = ("a", "b", "c")
-# Engine seconds of a generated token in a batch, to turn work into rates.
+# Engine seconds per generated token in a full batch; converts work into request rates.
 TOKEN_SECONDS = 0.00015
-# Most of a prompt, against the mean of its kind.
-LONGEST = 8.0
-# Swing and seconds of the usual wave of traffic.
-SWING, PERIOD = 0.3, 40.0
+# Maximum length of a prompt's own part, as a multiple of the mean of its kind.
+MAX_LENGTH_FACTOR = 8.0
+# Relative amplitude and period in seconds of the regular variation of traffic.
+AMPLITUDE, PERIOD = 0.3, 40.0
 
 
 class Kind(NamedTuple):
-    """A kind of request; ``worth`` is what one of mean size is worth."""
+    """A kind of request; ``worth`` is the value of a request of mean size.
+
+    ``shared`` and ``subject`` are each (tokens, number of distinct prompt parts);
+    ``own`` and ``output`` are mean tokens; times are in seconds.
+    """
 
     name: str
     per_second: float
@@ -33,7 +37,7 @@
 
 
 class EngineFigures(NamedTuple):
-    """What an engine does in a second; times in seconds."""
+    """Speed of an engine in tokens per second and seconds per step, and its memory."""
 
     prefill_rate: float
     step: float
@@ -42,7 +46,7 @@
 
 
 class Burst(NamedTuple):
-    """A time in which one kind comes so many times as often."""
+    """An interval in which requests of one kind arrive ``factor`` times as often."""
 
     start: float
     end: float
@@ -51,7 +55,10 @@
 
 
 class Wave(NamedTuple):
-    """All reclaimable instances of a data centre leave, and no others are had."""
+    """A reclaim of all reclaimable instances of a data centre.
+
+    No new ones are available for ``dry`` seconds after the reclaim at ``at``.
+    """
 
     at: float
     centre: str
@@ -60,7 +67,7 @@
 
 
 class Deployment(NamedTuple):
-    """One drawn deployment with its troubles."""
+    """A drawn deployment with its bursts, reclaims and crashes; times in seconds."""
 
     seconds: float
     lead: float
@@ -76,7 +83,7 @@
 
 
 class Arrival(NamedTuple):
-    """One request of a caller."""
+    """A request and the time in seconds at which it arrives."""
 
     at: float
     kind: Kind
@@ -87,62 +94,62 @@
 
 
 def read_ranges(path=RANGES):
-    """Return the ranges of a settings file."""
+    """Return the ranges read from a TOML file."""
     return tomllib.loads(Path(path).read_text())
 
 
 def draw(ranges, rng):
-    """Return a Deployment; ``rng`` is a numpy Generator."""
-    work = between(rng, ranges["work"])
+    """Return a random Deployment; ``rng`` is a numpy Generator."""
+    work = draw_float(rng, ranges["work"])
     engine = draw_engine(ranges["engine"], rng)
     kinds = draw_kinds(ranges["kinds"], work, engine, rng)
     trouble, seconds = ranges["trouble"], ranges["seconds"]
-    prices = {centre: between(rng, ranges["centre_price"]) for centre in CENTRES}
+    prices = {centre: draw_float(rng, ranges["centre_price"]) for centre in CENTRES}
     fleet = FleetSpec(
         1,
-        max(whole(rng, ranges["maximum"]), int(work) + 3),
-        between(rng, ranges["boot"]),
-        between(rng, ranges["reclaimable_price"]),
+        max(draw_integer(rng, ranges["maximum"]), int(work) + 3),
+        draw_float(rng, ranges["boot"]),
+        draw_float(rng, ranges["reclaimable_price"]),
         prices,
     )
     return Deployment(
         seconds,
         ranges["lead"],
-        whole(rng, ranges["gateways"]),
+        draw_integer(rng, ranges["gateways"]),
         work,
-        between(rng, ranges["instance_cost"]),
+        draw_float(rng, ranges["instance_cost"]),
         fleet,
         engine,
         kinds,
         draw_bursts(trouble, seconds, len(kinds), rng),
         draw_waves(trouble, rng),
-        tuple(rng.uniform(5.0, seconds, whole(rng, trouble["crashes"]))),
+        tuple(rng.uniform(5.0, seconds, draw_integer(rng, trouble["crashes"]))),
     )
 
 
-def between(rng, bounds):
-    """Return a number between two bounds."""
+def draw_float(rng, bounds):
+    """Return a uniformly drawn float between two bounds."""
     return float(rng.uniform(*bounds))
 
 
-def whole(rng, bounds):
-    """Return a whole number between two bounds, both included."""
+def draw_integer(rng, bounds):
+    """Return a uniformly drawn integer between two bounds, both included."""
     return int(rng.integers(bounds[0], bounds[1] + 1))
 
 
 def draw_engine(ranges, rng):
-    """Return the figures of the engines."""
+    """Return the performance of the engines, drawn from the ranges."""
     return EngineFigures(
-        between(rng, ranges["prefill_rate"]),
-        between(rng, ranges["step"]),
-        between(rng, ranges["step_per_request"]),
-        whole(rng, ranges["memory_tokens"]),
+        draw_float(rng, ranges["prefill_rate"]),
+        draw_float(rng, ranges["step"]),
+        draw_float(rng, ranges["step_per_request"]),
+        draw_integer(rng, ranges["memory_tokens"]),
     )
 
 
 def draw_kinds(ranges, work, engine, rng):
-    """Return kinds of requests that make so much work together."""
-    shares = rng.dirichlet([2.0] * whole(rng, ranges["count"]))
+    """Return kinds of requests that together need ``work`` engine seconds a second."""
+    shares = rng.dirichlet([2.0] * draw_integer(rng, ranges["count"]))
     return tuple(
         draw_kind(f"k{number}", ranges, work * float(share), engine, rng)
         for number, share in enumerate(shares)
@@ -150,25 +157,25 @@
 
 
 def draw_kind(name, ranges, work, engine, rng):
-    """Return one kind; it makes ``work`` engine seconds a second."""
-    shared = whole(rng, ranges["shared_tokens"])
-    subject = whole(rng, ranges["subject_tokens"])
-    own = between(rng, ranges["own_tokens"])
-    output = between(rng, ranges["output_tokens"])
-    target = between(rng, ranges["latency_target"])
-    # Half of what is shared is read anew, roughly.
-    read = own + (shared + subject) / 2
-    each = read / engine.prefill_rate + output * TOKEN_SECONDS
+    """Return one kind whose requests need ``work`` engine seconds a second."""
+    shared = draw_integer(rng, ranges["shared_tokens"])
+    subject = draw_integer(rng, ranges["subject_tokens"])
+    own = draw_float(rng, ranges["own_tokens"])
+    output = draw_float(rng, ranges["output_tokens"])
+    target = draw_float(rng, ranges["latency_target"])
+    # Assume that about half of the shared tokens miss the prefix cache.
+    prefilled = own + (shared + subject) / 2
+    per_request = prefilled / engine.prefill_rate + output * TOKEN_SECONDS
     return Kind(
         name,
-        work / each,
+        work / per_request,
         target,
-        target * between(rng, ranges["patience"]),
-        each * between(rng, ranges["worth"]),
-        (shared, whole(rng, ranges["shared_count"])),
-        (subject, whole(rng, ranges["subject_count"])),
+        target * draw_float(rng, ranges["patience"]),
+        per_request * draw_float(rng, ranges["worth"]),
+        (shared, draw_integer(rng, ranges["shared_count"])),
+        (subject, draw_integer(rng, ranges["subject_count"])),
         own,
-        between(rng, ranges["own_spread"]),
+        draw_float(rng, ranges["own_spread"]),
         output,
     )
 
@@ -176,22 +183,22 @@
 def draw_bursts(ranges, seconds, kinds, rng):
     """Return the bursts of a deployment."""
     found = []
-    for _ in range(whole(rng, ranges["bursts"])):
+    for _ in range(draw_integer(rng, ranges["bursts"])):
         start = float(rng.uniform(3.0, seconds - 5.0))
-        end = start + between(rng, ranges["burst_seconds"])
-        kind, factor = int(rng.integers(kinds)), between(rng, ranges["burst_factor"])
+        end = start + draw_float(rng, ranges["burst_seconds"])
+        kind, factor = int(rng.integers(kinds)), draw_float(rng, ranges["burst_factor"])
         found.append(Burst(start, end, kind, factor))
     return tuple(found)
 
 
 def draw_waves(ranges, rng):
-    """Return the waves of a deployment, one after the other."""
-    at, found = between(rng, ranges["first_wave"]), []
-    for _ in range(whole(rng, ranges["waves"])):
+    """Return the reclaims of a deployment in order of time."""
+    at, found = draw_float(rng, ranges["first_wave"]), []
+    for _ in range(draw_integer(rng, ranges["waves"])):
         centre = CENTRES[int(rng.integers(len(CENTRES)))]
-        notice, dry = between(rng, ranges["notice"]), between(rng, ranges["dry"])
+        notice, dry = draw_float(rng, ranges["notice"]), draw_float(rng, ranges["dry"])
         found.append(Wave(at, centre, notice, dry))
-        at += between(rng, ranges["wave_gap"])
+        at += draw_float(rng, ranges["wave_gap"])
     return tuple(found)
 
 
@@ -205,31 +212,35 @@
 
 
 def draw_stream(kind, bursts, seconds, rng):
-    """Return the requests of one kind: a wave with bursts, thinned from its peak."""
-    peak = (1 + SWING) * max([1.0, *(burst.factor for burst in bursts)])
+    """Return the requests of one kind.
+
+    Arrivals are a Poisson process with a triangular variation and bursts, thinned from
+    its peak rate.
+    """
+    peak = (1 + AMPLITUDE) * max([1.0, *(burst.factor for burst in bursts)])
     phase, at, found = float(rng.uniform(0, 1)), 0.0, []
     while True:
         at += float(rng.exponential(1.0 / (kind.per_second * peak)))
         if at >= seconds:
             return found
-        rate = 1 + SWING * float(wave(at / PERIOD + phase))
+        rate = 1 + AMPLITUDE * float(triangle_wave(at / PERIOD + phase))
         for burst in bursts:
             rate *= burst.factor if burst.start <= at < burst.end else 1.0
         if rng.uniform(0, peak) < rate:
             found.append(draw_arrival(kind, at, rng))
 
 
-def wave(turns):
-    """Return a triangle between -1 and 1."""
+def triangle_wave(turns):
+    """Return the value of a triangle wave between -1 and 1; its period is 1."""
     return abs(turns % 1.0 * 4 - 2) - 1
 
 
 def draw_arrival(kind, at, rng):
     """Return one request of a kind."""
     sigma = kind.spread
-    factor = min(LONGEST, float(rng.lognormal(-sigma * sigma / 2, sigma)))
+    factor = min(MAX_LENGTH_FACTOR, float(rng.lognormal(-sigma * sigma / 2, sigma)))
     shared, subjects = int(rng.integers(kind.shared[1])), kind.subject[1]
-    # Some subjects are asked for more often than others.
+    # The exponent makes low-numbered subjects more frequent than others.
     subject = int(subjects * rng.uniform() ** 1.3)
     parts = (
         PromptPart(f"{kind.name}s{shared}", kind.shared[0]),
--- a/bench/engines.py
+++ b/bench/engines.py
@@ -7,7 +7,7 @@
 PREFILL_RATE = 8000.0
 MODEL_STEP = 0.025
 BATCH_PART = 0.12
-# Decoding runs at this part of its speed while a prompt is being computed.
+# Fraction of the decode speed that remains while another sequence is in prefill.
 MIXED_PART = 0.6
 CACHE_TOKENS = 40_000
 WAITING_PER_SLOT = 2
@@ -15,7 +15,7 @@
 
 
 class Clock:
-    """Simulated time and what is due."""
+    """Simulated time in seconds and the queue of scheduled actions."""
 
     def __init__(self):
         self.now = 0.0
@@ -23,11 +23,11 @@
         self._order = count()
 
     def call(self, delay, action, *args):
-        """Run the action after so many seconds."""
+        """Schedule the action to run after ``delay`` seconds."""
         heappush(self._due, (self.now + delay, next(self._order), action, args))
 
     def run(self, until):
-        """Run everything due before ``until``."""
+        """Run all actions due up to ``until`` and set the time to it."""
         while self._due and self._due[0][0] <= until:
             self.now, _, action, args = heappop(self._due)
             action(*args)
@@ -35,7 +35,7 @@
 
 
 class Sequence:
-    """One attempt inside an upstream; amounts are tokens left to do."""
+    """An attempt in an upstream; ``prefill`` and ``decode`` are the tokens left."""
 
     def __init__(self, job, decode, notify):
         self.job = job
@@ -48,10 +48,10 @@
 
 
 class Engine:
-    """An upstream with slots; a plain service is one that has no prefill."""
+    """An upstream with slots; a service is modelled as an upstream without prefill."""
 
     def __init__(
-        self, name, clock, computed, slots=8, step=MODEL_STEP, crowd=BATCH_PART
+        self, name, clock, computed, slots=8, step=MODEL_STEP, batch_part=BATCH_PART
     ):
         self.name = name
         self.slots = slots
@@ -61,7 +61,7 @@
         self._clock = clock
         self._computed = computed
         self._step = step
-        self._crowd = crowd
+        self._batch_part = batch_part
         self._cache = OrderedDict()
         self._cached_tokens = 0
         self._running = []
@@ -71,11 +71,11 @@
         self._version = 0
 
     def report(self):
-        """Return running and waiting counts."""
+        """Return the numbers of running and waiting attempts."""
         return len(self._running), len(self._waiting)
 
     def arrive(self, job, decode, notify):
-        """Take an attempt in; ``notify(event, sequence)`` tells what comes of it."""
+        """Accept an attempt; call ``notify(event, sequence)`` on each of its events."""
         sequence = Sequence(job, decode, notify)
         if self.dead:
             notify("failed", sequence)
@@ -83,7 +83,7 @@
         if len(self._waiting) >= WAITING_PER_SLOT * self.slots:
             notify("busy", sequence)
             return
-        # Only model engines honour priorities.
+        # Only model engines order their queue by priority.
         priority = job.priority if job.prompt else 0
         heappush(self._waiting, (priority, next(self._order), sequence))
         self._advance()
@@ -91,7 +91,7 @@
         self._plan()
 
     def cancel(self, job):
-        """Stop an attempt and return its tokens, or None when it isn't here."""
+        """Stop an attempt; return its generated tokens, None if it was not running."""
         self._advance()
         found = [seq for seq in self._running if seq.job is job]
         self._waiting = [item for item in self._waiting if item[2].job is not job]
@@ -101,7 +101,7 @@
         return found[0].done if found else None
 
     def kill(self):
-        """End the upstream; all that it runs fails."""
+        """Stop the upstream; its running and waiting attempts fail."""
         self._advance()
         self.dead = True
         self._version += 1
@@ -110,7 +110,7 @@
         self._running, self._waiting = [], []
 
     def slow(self, factor):
-        """Take so many times as long from now on."""
+        """Make each step ``factor`` times as long as normal from now on."""
         self._advance()
         self.slowdown = factor
         self._plan()
@@ -140,7 +140,7 @@
     def _rates(self):
         prefilling = sum(seq.prefill > EPSILON for seq in self._running)
         pace = self._step * self.slowdown
-        pace *= 1.0 + self._crowd * (len(self._running) - 1)
+        pace *= 1.0 + self._batch_part * (len(self._running) - 1)
         decode = (MIXED_PART if prefilling else 1.0) / pace
         return PREFILL_RATE / self.slowdown / max(1, prefilling), decode
 
@@ -166,17 +166,17 @@
             seq.prefill / prefill if seq.prefill > EPSILON else seq.decode / decode
             for seq in self._running
         )
-        self._clock.call(max(0.0, delay) + EPSILON, self._step_on, self._version)
+        self._clock.call(max(0.0, delay) + EPSILON, self._run_step, self._version)
 
-    def _step_on(self, version):
+    def _run_step(self, version):
         if version != self._version or self.dead:
             return
-        before = {id(seq) for seq in self._running if seq.prefill > EPSILON}
+        prefilling = {id(seq) for seq in self._running if seq.prefill > EPSILON}
         self._advance()
         ended = [seq for seq in self._running if seq.prefill <= EPSILON >= seq.decode]
         for sequence in self._running:
-            if id(sequence) in before and sequence.prefill <= EPSILON:
-                self._keep(sequence.job)
+            if id(sequence) in prefilling and sequence.prefill <= EPSILON:
+                self._cache_prefix(sequence.job)
                 sequence.notify("first", sequence)
         self._running = [seq for seq in self._running if seq not in ended]
         for sequence in ended:
@@ -184,8 +184,8 @@
         self._admit()
         self._plan()
 
-    def _keep(self, job):
-        """Put the prefix in the cache, the least recently used going first."""
+    def _cache_prefix(self, job):
+        """Cache the prefix, evicting the least recently used prefixes."""
         if not job.prefix:
             return
         self._computed.add(job.prefix)
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -1,4 +1,4 @@
-"""The loads: how many requests, of which customer, and what goes wrong when."""
+"""Loads: request rate, shares of the customers, and failures injected."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -10,7 +10,10 @@
 
 
 class Load(NamedTuple):
-    """One load; ``level`` gives offered over full capacity at a time."""
+    """A load; ``level(now)`` is the offered work relative to full capacity.
+
+    ``duration`` is in seconds; ``returns`` limits the retries of a refused request.
+    """
 
     name: str
     level: Callable[[float], float]
@@ -24,12 +27,12 @@
 
 
 def hold(level):
-    """Return a load that stays at one level."""
+    """Return a level function that is constant."""
     return lambda now: level
 
 
 def burst(now):
-    """Return three times the base for five seconds in every thirty."""
+    """Return three times the base level for five seconds in every thirty."""
     return 1.8 if now % BURST_EVERY > BURST_EVERY - BURST_LENGTH else 0.6
 
 
@@ -45,7 +48,7 @@
     Load("reclaimed", hold(0.7), reclaimed="a", seeds=2),
 )
 
-# Refused callers come back when they are told to, this often at most.
+# Callers retry a refused request after the delay it names, at most ``returns`` times.
 RETURNING = (
     Load("burst", burst, returns=4, duration=60.0),
     Load("saturation 2x", hold(2.0), returns=4, duration=60.0),
--- a/bench/market.py
+++ b/bench/market.py
@@ -1,4 +1,4 @@
-"""A model of the market: instances that are ordered, boot, leave and are taken away."""
+"""A model of the cloud: instances are ordered, boot, drain and are reclaimed."""
 
 from itertools import count
 from typing import NamedTuple
@@ -9,12 +9,12 @@
 
 from .stepping import SteppingEngine
 
-# Seconds from a change of a registration until every gateway knows of it.
-LAG = 0.35
-# Seconds for which one that was given back goes on with what it has.
-LINGER = 4.0
-# Seconds for which a crashed one stays registered.
-SILENCE = 3.0
+# Seconds until a changed registration has reached every gateway.
+PROPAGATION_DELAY = 0.35
+# Seconds for which a released instance goes on serving its running requests.
+DRAIN_TIME = 4.0
+# Seconds for which a crashed instance stays registered.
+REGISTRATION_TIMEOUT = 3.0
 
 
 class Member(NamedTuple):
@@ -25,12 +25,12 @@
 
 
 class Market:
-    """State of all instances; ``tell(registration, gone)`` hears what registers."""
+    """All instances; each change of a registration calls ``notify``."""
 
-    def __init__(self, clock, deployment, tell):
+    def __init__(self, clock, deployment, notify):
         self._clock = clock
         self._deployment = deployment
-        self._tell = tell
+        self._notify = notify
         self._numbers = count()
         self._dry_until = float("-inf")
         self.members = {}
@@ -39,29 +39,29 @@
         self._counted_at = None
 
     def start(self, counts):
-        """Begin with so many instances of each InstanceKind that are there already."""
+        """Start with the given number of running instances of each InstanceKind."""
         self._counted_at = self._clock.now
         for kind, number in counts.items():
             for _ in range(number):
                 self._begin(f"i{next(self._numbers)}", kind)
 
     def order(self, kind, number):
-        """Take an order; tell whether such instances were to be had."""
+        """Scale a kind to ``number`` instances; return False if none are available."""
         self.count_paid()
-        own = [name for name, member in self.members.items() if member.kind == kind]
-        for name in own[number:]:
+        present = [name for name, member in self.members.items() if member.kind == kind]
+        for name in present[number:]:
             self._release(name)
-        lacking = number - len(own)
-        if lacking > 0 and kind.reclaimable and self._clock.now < self._dry_until:
+        missing = number - len(present)
+        if missing > 0 and kind.reclaimable and self._clock.now < self._dry_until:
             return False
-        for _ in range(lacking):
+        for _ in range(missing):
             name = f"i{next(self._numbers)}"
             self.members[name] = Member(kind, None)
             self._clock.call(self._deployment.fleet.boot_time, self._boot, name)
         return True
 
     def reclaim(self, wave):
-        """Take away a data centre's reclaimable instances after a notice."""
+        """Reclaim a data centre's reclaimable instances after the wave's notice."""
         self.count_paid()
         self._dry_until = self._clock.now + wave.dry
         for name, member in list(self.members.items()):
@@ -69,17 +69,17 @@
                 self._leave(name, member, wave.notice)
 
     def crash(self):
-        """End the longest running instance without a word."""
+        """Crash the longest running instance, without deregistering it first."""
         running = [name for name, member in self.members.items() if member.engine]
         if running:
             self.count_paid()
             member = self.members.pop(running[0])
             member.engine.kill()
             gone = (self._register(running[0], member.kind, False), True)
-            self._clock.call(SILENCE, self._tell, *gone)
+            self._clock.call(REGISTRATION_TIMEOUT, self._notify, *gone)
 
     def count_paid(self):
-        """Add up what is paid for, up to now."""
+        """Add the cost since the last count, in seconds of a full-price instance."""
         fleet = self._deployment.fleet
         passed = self._clock.now - self._counted_at
         self._counted_at = self._clock.now
@@ -97,28 +97,28 @@
         engine = SteppingEngine(self._clock, self._deployment.engine)
         self.members[name] = Member(kind, engine)
         self.engines[name] = engine
-        self._later(self._register(name, kind, False), False)
+        self._notify_later(self._register(name, kind, False), False)
 
     def _release(self, name):
         member = self.members[name]
         if member.engine is None:
             del self.members[name]
             return
-        self._leave(name, member, LINGER)
+        self._leave(name, member, DRAIN_TIME)
 
     def _leave(self, name, member, seconds):
         self.members.pop(name)
         if member.engine is None:
             return
-        self._later(self._register(name, member.kind, True), False)
+        self._notify_later(self._register(name, member.kind, True), False)
         self._clock.call(seconds, self._end, name, member)
 
     def _end(self, name, member):
         member.engine.kill()
-        self._later(self._register(name, member.kind, True), True)
+        self._notify_later(self._register(name, member.kind, True), True)
 
-    def _later(self, registration, gone):
-        self._clock.call(LAG, self._tell, registration, gone)
+    def _notify_later(self, registration, gone):
+        self._clock.call(PROPAGATION_DELAY, self._notify, registration, gone)
 
     def _register(self, name, kind, leaving):
         address = Address("10.0.0.1", 80)
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -1,4 +1,4 @@
-"""What came of a run, as figures for callers and operators."""
+"""Compute the results of a run: latencies, useful work, cost and fairness."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class Outcome(NamedTuple):
-    """The figures of one run."""
+    """The results of one or more runs; work is in slot-seconds per second."""
 
     deployment: str
     load: str
@@ -31,7 +31,7 @@
 
 
 def measure(*runs):
-    """Return the figures of runs that have ended and differ in their seed only."""
+    """Return the combined Outcome of completed runs that differ only in their seed."""
     first = runs[0]
     requests = [req for run in runs for req in run.requests]
     engines = [engine for run in runs for engine in run.engines.values()]
@@ -59,13 +59,13 @@
 
 
 def _measure_kind(requests, kind):
-    """Return the part of a class that was answered within its target."""
+    """Return the fraction of a class's requests answered within the target."""
     own = [req for req in requests if req.kind is kind]
     return sum(req.is_useful() for req in own) / max(1, len(own))
 
 
 def _measure_customer(requests, customer):
-    """Return percentiles of the first token's latency of a customer's model work."""
+    """Return percentiles of the time to first token of a customer, in seconds."""
     own = [req for req in requests if req.customer == customer and req.kind.prefix]
     times = sorted(req.first_token - req.arrival for req in own if req.finished)
     if not times:
@@ -74,7 +74,7 @@
 
 
 def _measure_price(run):
-    """Return what the instances cost; a reclaimed one is paid for until it ends."""
+    """Return the cost of the instances; a reclaimed one costs until it is stopped."""
     total = 0.0
     for up in run.upstreams.values():
         lost = up.data_centre == run.load.reclaimed
@@ -85,25 +85,25 @@
 
 
 def _measure_fairness(requests):
-    """Return Jain's index of useful over entitled work of the customers.
+    """Return Jain's fairness index of the customers' useful work over their fair share.
 
-    Entitled is the max-min fair part of all useful work: no one gets more than it
-    offered, and what one leaves goes to the others.
+    The fair share is the max-min fair part of all useful work: no customer gets more
+    than it offered, and what a customer leaves unused is divided among the others.
     """
     offered, useful = Counter(), Counter()
     for req in requests:
         offered[req.customer] += req.work
         useful[req.customer] += req.work * req.is_useful()
-    entitled = _share_out(offered, sum(useful.values()))
-    parts = [useful[name] / max(entitled[name], 1e-9) for name in offered]
+    fair_shares = _divide_fairly(offered, sum(useful.values()))
+    parts = [useful[name] / max(fair_shares[name], 1e-9) for name in offered]
     squares = sum(part * part for part in parts)
     return sum(parts) ** 2 / (len(parts) * squares) if squares else 0.0
 
 
-def _share_out(offered, total):
-    entitled = {}
+def _divide_fairly(offered, total):
+    fair_shares = {}
     names = sorted(offered, key=offered.get)
     for index, name in enumerate(names):
-        entitled[name] = min(offered[name], total / (len(names) - index))
-        total -= entitled[name]
-    return entitled
+        fair_shares[name] = min(offered[name], total / (len(names) - index))
+        total -= fair_shares[name]
+    return fair_shares
--- a/bench/pages.py
+++ b/bench/pages.py
@@ -1,4 +1,4 @@
-"""Sections of a page under docs, each between markers of its own."""
+"""Write sections of the pages in docs; each section has its own pair of markers."""
 
 from pathlib import Path
 
@@ -21,6 +21,6 @@
 
 
 def format_table(heads, rows):
-    """Return a Markdown table."""
+    """Return a Markdown table with the given column heads and rows."""
     lines = [heads, ["---"] * len(heads), *rows]
     return "\n".join("| " + " | ".join(map(str, line)) + " |" for line in lines)
