--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -1,8 +1,8 @@
 """Draw the requests of a deployment under a load, from a seeded generator."""
 
 from .deployments import (
-    ENTRIES,
-    PREFIXES,
+    ENTRY_CENTRES,
+    PREFIX_COUNT,
     list_customers,
     measure_rate,
     measure_work,
@@ -76,7 +76,7 @@
 
 def _draw_request(name, kind, load, rng, now):
     customer = rng.choices(list_customers(), load.demand)[0]
-    request = Request(name, kind, customer, rng.randrange(len(ENTRIES)), now)
+    request = Request(name, kind, customer, rng.randrange(len(ENTRY_CENTRES)), now)
     factor = rng.uniform(0.6, 1.4) * _draw_length(load, rng)
     request.output = kind.output * factor
     longer = max(0.0, factor - 1.4)
@@ -98,4 +98,4 @@
 
 def _draw_prefix(rng):
     """Return a prefix number; low numbers are drawn more often than high ones."""
-    return int(PREFIXES * rng.random() ** 1.5)
+    return int(PREFIX_COUNT * rng.random() ** 1.5)
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -15,16 +15,16 @@
     WorkClass,
 )
 
-from .engines import BATCH_PART, MODEL_STEP
+from .engines import BATCH_SLOWDOWN, MODEL_STEP
 
 DATA_CENTRES = ("a", "b", "c")
-ENTRIES = ("a", "a", "a", "b", "b", "c", "c")
-BETWEEN_CENTRES = 0.0015
-WITHIN_CENTRE = 0.0001
+ENTRY_CENTRES = ("a", "a", "a", "b", "b", "c", "c")
+CROSS_CENTRE_DELAY = 0.0015
+SAME_CENTRE_DELAY = 0.0001
 MODEL_SLOTS = 8
 SERVICE_SLOTS = 4
-DEMAND = (0.40, 0.25, 0.15, 0.12, 0.08)
-PREFIXES = 12
+DEMAND_SHARES = (0.40, 0.25, 0.15, 0.12, 0.08)
+PREFIX_COUNT = 12
 MODEL_PRICE = 1.10
 SERVICE_PRICE = 0.12
 
@@ -87,7 +87,7 @@
 
 def list_customers():
     """Return the names of the five organisations, the largest first."""
-    return [f"org-{index}" for index in range(len(DEMAND))]
+    return [f"org-{index}" for index in range(len(DEMAND_SHARES))]
 
 
 def build_configuration(deployment):
@@ -130,7 +130,7 @@
     """Return the slot-seconds that a request of a kind needs in a full batch."""
     if not kind.prefix:
         return kind.output
-    step = MODEL_STEP * (1 + BATCH_PART * (MODEL_SLOTS - 1))
+    step = MODEL_STEP * (1 + BATCH_SLOWDOWN * (MODEL_SLOTS - 1))
     return kind.output * step + (kind.suffix + 0.2 * kind.prefix) / 4000
 
 
--- a/bench/draws.py
+++ b/bench/draws.py
@@ -57,7 +57,7 @@
 class Wave(NamedTuple):
     """A reclaim of all reclaimable instances of a data centre.
 
-    No new ones are available for ``dry`` seconds after the reclaim at ``at``.
+    No reclaimable instance is available anywhere for ``dry`` seconds from ``at``.
     """
 
     at: float
--- a/bench/engines.py
+++ b/bench/engines.py
@@ -6,9 +6,10 @@
 
 PREFILL_RATE = 8000.0
 MODEL_STEP = 0.025
-BATCH_PART = 0.12
+# Relative slowdown of a decode step per further sequence in the batch.
+BATCH_SLOWDOWN = 0.12
 # Fraction of the decode speed that remains while another sequence is in prefill.
-MIXED_PART = 0.6
+MIXED_SPEED = 0.6
 CACHE_TOKENS = 40_000
 WAITING_PER_SLOT = 2
 EPSILON = 1e-9
@@ -51,7 +52,13 @@
     """An upstream with slots; a service is modelled as an upstream without prefill."""
 
     def __init__(
-        self, name, clock, computed, slots=8, step=MODEL_STEP, batch_part=BATCH_PART
+        self,
+        name,
+        clock,
+        computed,
+        slots=8,
+        step=MODEL_STEP,
+        batch_slowdown=BATCH_SLOWDOWN,
     ):
         self.name = name
         self.slots = slots
@@ -61,7 +68,7 @@
         self._clock = clock
         self._computed = computed
         self._step = step
-        self._batch_part = batch_part
+        self._batch_slowdown = batch_slowdown
         self._cache = OrderedDict()
         self._cached_tokens = 0
         self._running = []
@@ -140,8 +147,8 @@
     def _rates(self):
         prefilling = sum(seq.prefill > EPSILON for seq in self._running)
         pace = self._step * self.slowdown
-        pace *= 1.0 + self._batch_part * (len(self._running) - 1)
-        decode = (MIXED_PART if prefilling else 1.0) / pace
+        pace *= 1.0 + self._batch_slowdown * (len(self._running) - 1)
+        decode = (MIXED_SPEED if prefilling else 1.0) / pace
         return PREFILL_RATE / self.slowdown / max(1, prefilling), decode
 
     def _advance(self):
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,20 +1,20 @@
-"""Put every load through the scheduler and the baselines; write the tables.
+"""Run every load under the scheduler and the baselines; write the tables.
 
-Run ``python -m bench.load``; name loads to run only those, which prints and writes
-nothing.
+Run ``python -m bench.load``. With names of loads as arguments it runs only these and
+prints their results without writing them to the page.
 """
 
 import sys
 
 from . import policies
 from .deployments import ANDESUR, TOURNELLE
-from .loads import LOADS, RETURNING
+from .loads import LOADS, RETRY_LOADS
 from .measures import measure
 from .pages import format_table, write_section
 from .policies import POLICIES
 from .simulation import SEED, Run
 
-OURS = POLICIES[0].name
+CHERVILWING = POLICIES[0].name
 HEADS = (
     "load",
     "policy",
@@ -42,7 +42,7 @@
 Recomputed is a run's mean. Callers who are refused don't come back in the model.
 Baselines send at once and try up to three upstreams when one is busy."""
 
-RETURNING_HEADS = (
+RETRY_HEADS = (
     "load",
     "policy",
     "useful",
@@ -50,14 +50,14 @@
     "attempts",
     "within target",
 )
-RETURNING_INTRO = """Callers come back when they are told to, up to four times, and then
+RETRY_INTRO = """Callers come back when they are told to, up to four times, and then
 have all of their time again: graded times against one second for all. Useful work is
 that of the load's 60 s and of what comes back after them, over 60 s, so it may be above
 what the pools can do in that time."""
 
 
 def main(names):
-    """Run the loads and print or write what came of them."""
+    """Run the loads, print the results and write them unless loads were named."""
     loads = [load for load in LOADS if not names or load.name in names]
     outcomes = [
         _run(deployment, load, policy)
@@ -68,11 +68,11 @@
     returning = [
         _run(deployment, load, policy)
         for deployment in (ANDESUR, TOURNELLE)
-        for load in RETURNING
-        for policy in policies.RETURNING
+        for load in RETRY_LOADS
+        for policy in policies.RETRY_POLICIES
         if not names
     ]
-    text = "\n\n".join(_write(outcomes, returning))
+    text = "\n\n".join(_render(outcomes, returning))
     print(text)
     if not names:
         write_section("decisions under load", text)
@@ -85,7 +85,7 @@
     return measure(*runs)
 
 
-def _write(outcomes, returning):
+def _render(outcomes, returning):
     yield INTRO.format(seed=SEED)
     for name in dict.fromkeys(outcome.deployment for outcome in outcomes):
         own = [outcome for outcome in outcomes if outcome.deployment == name]
@@ -94,10 +94,10 @@
         yield "First token of model work by customer: p50 / p95 / p99 in seconds."
         yield format_table(CUSTOMER_HEADS, [_format_customers(out) for out in own])
     yield "### When refused callers come back"
-    yield RETURNING_INTRO
-    yield format_table(RETURNING_HEADS, [_format_returning(out) for out in returning])
+    yield RETRY_INTRO
+    yield format_table(RETRY_HEADS, [_format_retries(out) for out in returning])
     yield "### Targets"
-    yield "\n".join(_judge(outcomes))
+    yield "\n".join(_check_targets(outcomes))
 
 
 def _format(outcome):
@@ -118,7 +118,7 @@
     )
 
 
-def _format_returning(outcome):
+def _format_retries(outcome):
     shares = (f"{name} {part:.0%}" for name, part in outcome.in_target.items())
     return (
         f"{outcome.deployment}, {outcome.load}",
@@ -136,15 +136,15 @@
     return (outcome.load, outcome.policy, *cells)
 
 
-def _judge(outcomes):
-    """Yield a line for each target: met, or missed with both figures."""
+def _check_targets(outcomes):
+    """Yield a line for each target: met or missed, with both figures."""
     for name, load in dict.fromkeys((out.deployment, out.load) for out in outcomes):
         own = [out for out in outcomes if (out.deployment, out.load) == (name, load)]
         measured = "cost" if name == ANDESUR.name else "recomputed_rate"
-        ours = next(out for out in own if out.policy == OURS)
-        rest = [out for out in own if out.policy != OURS]
+        ours = next(out for out in own if out.policy == CHERVILWING)
+        rest = [out for out in own if out.policy != CHERVILWING]
         best = min(rest, key=lambda out: getattr(out, measured))
-        yield _state(
+        yield _format_target(
             f"{name}, {load}: {measured.replace('_', ' ')} against the best baseline"
             f" ({best.policy})",
             getattr(ours, measured),
@@ -152,31 +152,31 @@
             getattr(ours, measured) <= getattr(best, measured),
         )
     for name in dict.fromkeys(out.deployment for out in outcomes):
-        yield from _judge_saturation(
+        yield from _check_saturation(
             name,
             {
                 out.load: out
                 for out in outcomes
-                if out.deployment == name and out.policy == OURS
+                if out.deployment == name and out.policy == CHERVILWING
             },
         )
 
 
-def _judge_saturation(name, ours):
+def _check_saturation(name, ours):
     full, five = ours.get("full 1x"), ours.get("saturation 5x")
     if full and five:
         title = f"{name}: useful throughput at 5x over 90% of that at 1x"
-        yield _state(
+        yield _format_target(
             title, five.useful, 0.9 * full.useful, five.useful > 0.9 * full.useful
         )
     for load in ("saturation 2x", "saturation 5x"):
         if load in ours:
             attempts = ours[load].attempts
             title = f"{name}, {load}: attempts per request under 1.1"
-            yield _state(title, attempts, 1.1, attempts < 1.1)
+            yield _format_target(title, attempts, 1.1, attempts < 1.1)
 
 
-def _state(title, figure, bound, met):
+def _format_target(title, figure, bound, met):
     return f"- {'met' if met else '**missed**'}: {title}: {figure:.3f} to {bound:.3f}"
 
 
--- a/bench/market.py
+++ b/bench/market.py
@@ -25,7 +25,10 @@
 
 
 class Market:
-    """All instances; each change of a registration calls ``notify``."""
+    """State of all instances; a changed registration calls ``notify``.
+
+    The arguments are the registration and whether it was removed.
+    """
 
     def __init__(self, clock, deployment, notify):
         self._clock = clock
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -6,7 +6,7 @@
 from chervilwing.models import MODEL
 
 from .deployments import MODEL_PRICE, SERVICE_PRICE, list_customers
-from .simulation import NOTICE
+from .simulation import NOTICE_TIME
 
 PERCENTILES = (0.5, 0.95, 0.99)
 
@@ -78,7 +78,7 @@
     total = 0.0
     for up in run.upstreams.values():
         lost = up.data_centre == run.load.reclaimed
-        seconds = run.load.duration / 2 + NOTICE if lost else run.load.duration
+        seconds = run.load.duration / 2 + NOTICE_TIME if lost else run.load.duration
         price = MODEL_PRICE if up.kind == MODEL else SERVICE_PRICE
         total += price * seconds / 3600
     return total
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,4 +1,4 @@
-"""The baselines, with the scheduler's own calls: send at once, retry at siblings."""
+"""Baseline policies with the scheduler's interface: send at once, retry elsewhere."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,10 @@
 
 
 class Policy(NamedTuple):
-    """A name and what makes one for an entry instance."""
+    """A policy; ``build(cfg, rng)`` returns the scheduler of an entry instance.
+
+    ``moves`` says whether it moves requests away from an upstream that is reclaimed.
+    """
 
     name: str
     build: object
@@ -18,58 +21,58 @@
 
 
 class Baseline:
-    """A balancer that sends each request at once to what ``pick`` returns."""
+    """A balancer that sends each request at once to the upstream chosen by ``pick``."""
 
     def __init__(self, pick, rng):
         self._pick = pick
         self._rng = rng
         self._pools = {}
-        self._homes = {}
+        self._pool_names = {}
         self._waiting = []
         self._turn = 0
         self.outstanding = {}
 
     def configure(self, configuration):
-        """Learn the upstreams."""
+        """Set the upstreams of each pool."""
         for upstream in configuration.inventory.upstreams:
             self._pools.setdefault(upstream.pool, []).append(upstream.name)
-            self._homes[upstream.name] = upstream.pool
+            self._pool_names[upstream.name] = upstream.pool
             self.outstanding[upstream.name] = 0
 
     def mark_leaving(self, name, now):
-        """Send nothing new there."""
-        pool = self._pools[self._homes[name]]
+        """Send no new requests to this upstream."""
+        pool = self._pools[self._pool_names[name]]
         if name in pool:
             pool.remove(name)
 
     mark_down = mark_leaving
 
     def report_load(self, *report):
-        """Baselines count only what they sent themselves."""
+        """Ignore the report: baselines count only the requests that they sent."""
 
     def offer(self, work, now):
-        """Take everything."""
+        """Accept all work."""
         self._waiting.append(work)
 
     def dispatch(self, now):
-        """Place all that came in."""
+        """Place all accepted work."""
         waiting, self._waiting = self._waiting, []
         return tuple(self._place(work) for work in waiting)
 
     def expire(self, now):
-        """Give up on nothing."""
+        """Expire no work."""
         return ()
 
     def withdraw(self, request_id, now):
-        """Nothing waits here."""
+        """Return False: no request waits in a queue."""
         return False
 
     def finish(self, request_id, upstream, outcome, first, duration, tokens, now):
-        """Count one less."""
+        """Decrement the upstream's outstanding requests."""
         self.outstanding[upstream] -= 1
 
     def retry(self, work, upstream, outcome, now):
-        """Try at another upstream, three times in all, whatever the cause."""
+        """Retry at another upstream whatever the cause, up to three attempts in all."""
         safe = outcome == BUSY or work.idempotent
         names = self._pools[work.pool]
         if not names:
@@ -82,86 +85,86 @@
         return None
 
     def shift(self, name, until, now):
-        """Move nothing."""
+        """Move no requests."""
         return ()
 
     def next_wakeup(self, now):
-        """Nothing is ever due."""
+        """Return None: no wake-up is needed."""
         return None
 
     def _place(self, work):
         names = self._pools[work.pool]
-        able = [name for name in names if name not in work.excluded] or names
+        candidates = [name for name in names if name not in work.excluded] or names
         self._turn += 1
-        name = self._pick(able, self.outstanding, self._turn, self._rng)
+        name = self._pick(candidates, self.outstanding, self._turn, self._rng)
         self.outstanding[name] += 1
         return Placement(work.request_id, name, 1.0)
 
 
 class Unlimited(Scheduler):
-    """The scheduler without admission: nothing is refused or given up on."""
+    """The scheduler without admission control: no request is refused or expired."""
 
     def _judge(self, pool, work, cost, now):
         return None
 
     def expire(self, now):
-        """Tell nobody."""
+        """Expire work without reporting it to the callers."""
         super().expire(now)
         return ()
 
 
 class Constant(Scheduler):
-    """The scheduler with one second for all in place of graded times."""
+    """The scheduler with a constant retry delay of one second for all refusals."""
 
     def offer(self, work, now):
-        """Queue the work or refuse it for a second."""
-        return _flatten(super().offer(work, now))
+        """Queue the work, or refuse it with a retry delay of one second."""
+        return _set_constant_delay(super().offer(work, now))
 
     def expire(self, now):
-        """Give up for a second."""
-        return tuple(map(_flatten, super().expire(now)))
+        """Return expired work as refusals with a retry delay of one second."""
+        return tuple(map(_set_constant_delay, super().expire(now)))
 
     def retry(self, work, upstream, outcome, now):
-        """Try again or refuse for a second."""
-        return _flatten(super().retry(work, upstream, outcome, now))
+        """Retry the work, or refuse it with a retry delay of one second."""
+        return _set_constant_delay(super().retry(work, upstream, outcome, now))
 
 
-def _flatten(refusal):
+def _set_constant_delay(refusal):
     if refusal is not None:
         refusal.exc.retry_after = 1.0
     return refusal
 
 
 def pick_in_turn(names, outstanding, turn, rng):
-    """Round robin."""
+    """Return the next upstream by round robin."""
     return names[turn % len(names)]
 
 
 def pick_least(names, outstanding, turn, rng):
-    """Least outstanding, ties drawn by lot."""
+    """Return the upstream with the fewest outstanding requests, ties at random."""
     least = min(outstanding[name] for name in names)
     return rng.choice([name for name in names if outstanding[name] == least])
 
 
 def pick_of_two(names, outstanding, turn, rng):
-    """Random two choices."""
+    """Return the less loaded of two upstreams drawn at random."""
     pair = rng.sample(names, min(2, len(names)))
     return min(pair, key=outstanding.__getitem__)
 
 
-def _baseline(pick):
+def _make_builder(pick):
     return lambda cfg, rng: Baseline(pick, rng)
 
 
 POLICIES = (
     Policy("chervilwing", Scheduler, True),
-    Policy("round robin", _baseline(pick_in_turn), False),
-    Policy("least outstanding", _baseline(pick_least), False),
-    Policy("random two choices", _baseline(pick_of_two), False),
+    Policy("round robin", _make_builder(pick_in_turn), False),
+    Policy("least outstanding", _make_builder(pick_least), False),
+    Policy("random two choices", _make_builder(pick_of_two), False),
     Policy("no admission", Unlimited, True),
 )
 
-RETURNING = (
+RETRY_POLICIES = (
     POLICIES[0],
     Policy("constant 1 s", Constant, True),
     POLICIES[2],
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -1,4 +1,4 @@
-"""Entry instances, each with a scheduler of its own, before modelled upstreams."""
+"""Simulate entry instances, each with its own scheduler, and modelled upstreams."""
 
 import math
 from random import Random
@@ -9,23 +9,24 @@
 
 from .arrivals import draw_requests
 from .deployments import (
-    BETWEEN_CENTRES,
-    ENTRIES,
-    WITHIN_CENTRE,
+    CROSS_CENTRE_DELAY,
+    ENTRY_CENTRES,
+    SAME_CENTRE_DELAY,
     build_configuration,
     list_upstreams,
 )
 from .engines import Clock, Engine
 
 SEED = 20261202
-REPORT_EVERY = 1.0
-REPORT_LAG = 0.3
-NOTICE = 10.0
-LIST_LAG = 2.0
-SHIFT_EVERY = 0.25
+REPORT_INTERVAL = 1.0
+REPORT_DELAY = 0.3
+NOTICE_TIME = 10.0
+# Seconds until an instance learns of a reclaim that another instance was notified of.
+NOTICE_DELAY = 2.0
+SHIFT_INTERVAL = 0.25
 SLOW_AT = 20.0
-DRAIN = 120.0
-# Callers who aren't told when to come back do so after a second.
+DRAIN_TIME = 120.0
+# Seconds until a caller retries when the refusal names no delay.
 DEFAULT_RETRY = 1.0
 CAUSES = {"failed": FAILED, "busy": BUSY}
 
@@ -41,20 +42,20 @@
         self.deployment = deployment
         self.upstreams = {up.name: up for up in list_upstreams(deployment)}
         self.engines = self._build_engines()
-        self.entries = [self._build_entry(index) for index in range(len(ENTRIES))]
+        self.entries = [self._build_entry(index) for index in range(len(ENTRY_CENTRES))]
         self.requests = draw_requests(deployment, load, Random(seed))
         self._by_name = {request.name: request for request in self.requests}
         self._notice_at = load.duration / 2
-        self._wakeups = [None] * len(ENTRIES)
+        self._wakeups = [None] * len(ENTRY_CENTRES)
 
     def play(self):
-        """Run to the end and return the requests."""
+        """Run to the end and return all requests."""
         for request in self.requests:
             self.clock.call(request.arrival, self._offer, request)
-            self.clock.call(request.deadline, self._hang_up, request)
+            self.clock.call(request.deadline, self._abandon, request)
         self._report()
-        self._break()
-        self.clock.run(self.load.duration + DRAIN)
+        self._schedule_faults()
+        self.clock.run(self.load.duration + DRAIN_TIME)
         return self.requests
 
     def _build_engines(self):
@@ -67,13 +68,13 @@
         }
 
     def _build_entry(self, index):
-        cfg = SchedulingSettings(ENTRIES[index], len(ENTRIES))
+        cfg = SchedulingSettings(ENTRY_CENTRES[index], len(ENTRY_CENTRES))
         scheduler = self.policy.build(cfg, Random(self._seed + index))
         scheduler.configure(build_configuration(self.deployment))
         return scheduler
 
-    def _break(self):
-        """Plan the load's faults."""
+    def _schedule_faults(self):
+        """Schedule the load's faults: slow upstreams and a reclaimed data centre."""
         names = list(self.engines)
         if self.load.slow != 1.0:
             for name in (names[0], names[-1]):
@@ -81,17 +82,17 @@
                 self.clock.call(SLOW_AT, slow, self.load.slow)
         for name, up in self.upstreams.items():
             if up.data_centre == self.load.reclaimed:
-                self._plan_reclaim(name)
+                self._schedule_reclaim(name)
 
-    def _plan_reclaim(self, name):
-        for index in range(len(ENTRIES)):
-            lag = 0.1 if index == 0 else LIST_LAG
+    def _schedule_reclaim(self, name):
+        for index in range(len(ENTRY_CENTRES)):
+            lag = 0.1 if index == 0 else NOTICE_DELAY
             self.clock.call(self._notice_at + lag, self._notice, index, name)
-        self.clock.call(self._notice_at + NOTICE, self.engines[name].kill)
+        self.clock.call(self._notice_at + NOTICE_TIME, self.engines[name].kill)
 
     def _notice(self, index, name):
         self.entries[index].mark_leaving(name, self.clock.now)
-        self._poke(index)
+        self._run_scheduler(index)
         if self.policy.moves:
             self._shift(index, name)
 
@@ -99,14 +100,14 @@
         if self.engines[name].dead:
             return
         moves = self.entries[index].shift(
-            name, self._notice_at + NOTICE, self.clock.now
+            name, self._notice_at + NOTICE_TIME, self.clock.now
         )
         for request_id in moves:
-            self._move(index, name, self._find(request_id))
-        self._poke(index)
-        self.clock.call(SHIFT_EVERY, self._shift, index, name)
+            self._move(index, name, self._get_request(request_id))
+        self._run_scheduler(index)
+        self.clock.call(SHIFT_INTERVAL, self._shift, index, name)
 
-    def _find(self, request_id):
+    def _get_request(self, request_id):
         return self._by_name[request_id]
 
     def _move(self, index, name, request):
@@ -117,21 +118,21 @@
         self._end(index, name, request, LEAVING, 0.0, done or 0.0)
 
     def _report(self):
-        """Pass every upstream's load on, late, to every entry instance."""
+        """Report every upstream's load to every entry instance, with a delay."""
         now = self.clock.now
         reports = [
             (name, *engine.report(), engine.slots, now)
             for name, engine in self.engines.items()
             if not engine.dead
         ]
-        for index in range(len(ENTRIES)):
-            self.clock.call(REPORT_LAG, self._hear, index, reports)
-        self.clock.call(REPORT_EVERY, self._report)
+        for index in range(len(ENTRY_CENTRES)):
+            self.clock.call(REPORT_DELAY, self._receive_reports, index, reports)
+        self.clock.call(REPORT_INTERVAL, self._report)
 
-    def _hear(self, index, reports):
+    def _receive_reports(self, index, reports):
         for report in reports:
             self.entries[index].report_load(*report, self.clock.now)
-        self._poke(index)
+        self._run_scheduler(index)
 
     def _make_work(self, request):
         return Work(
@@ -156,26 +157,26 @@
         )
         if refusal is not None:
             self._refuse(request, refusal)
-        self._poke(request.entry)
+        self._run_scheduler(request.entry)
 
     def _refuse(self, request, refusal):
         if request.offers <= self.load.returns:
             after = refusal.exc.retry_after or DEFAULT_RETRY
             request.deadline = math.inf
-            self.clock.call(after, self._come_back, request)
+            self.clock.call(after, self._retry_request, request)
             return
         request.closed = True
         request.cause = refusal.exc.type
 
-    def _come_back(self, request):
-        """Let the caller send the request again, with all of its time."""
+    def _retry_request(self, request):
+        """Send the refused request again, with its whole deadline."""
         request.arrival = self.clock.now
         request.deadline = self.clock.now + request.kind.deadline
-        self.clock.call(request.kind.deadline, self._hang_up, request)
+        self.clock.call(request.kind.deadline, self._abandon, request)
         self._offer(request)
 
-    def _hang_up(self, request):
-        """Let the caller go at the deadline."""
+    def _abandon(self, request):
+        """Cancel the request if it is still open at its deadline."""
         if request.closed or self.clock.now < request.deadline:
             return
         request.closed = True
@@ -186,12 +187,12 @@
         done = self.engines[request.upstream].cancel(request)
         self._end(request.entry, request.upstream, request, CANCELLED, 0.0, done or 0)
 
-    def _poke(self, index):
-        """Carry out what the scheduler decides now and plan its next time."""
+    def _run_scheduler(self, index):
+        """Carry out the scheduler's decisions and schedule its next wake-up."""
         entry = self.entries[index]
         now = self.clock.now
         for refusal in entry.expire(now):
-            self._refuse(self._find(refusal.request_id), refusal)
+            self._refuse(self._get_request(refusal.request_id), refusal)
         for placement in entry.dispatch(now):
             self._send(index, placement)
         due = entry.next_wakeup(now)
@@ -202,10 +203,10 @@
 
     def _wake(self, index):
         self._wakeups[index] = None
-        self._poke(index)
+        self._run_scheduler(index)
 
     def _send(self, index, placement):
-        request = self._find(placement.request_id)
+        request = self._get_request(placement.request_id)
         request.attempts += 1
         request.upstream = request.last_upstream = placement.upstream
         sent = self.clock.now
@@ -214,22 +215,24 @@
 
         delay = self._measure_delay(index, placement.upstream)
 
-        def hear(event, sequence):
+        def notify(event, sequence):
             args = (index, placement.upstream, attempt, sent, event, sequence.done)
-            self.clock.call(delay, self._hear_event, request, *args)
+            self.clock.call(delay, self._handle_event, request, *args)
 
-        self.clock.call(delay, self._arrive, placement.upstream, request, decode, hear)
+        self.clock.call(
+            delay, self._arrive, placement.upstream, request, decode, notify
+        )
 
-    def _arrive(self, name, request, decode, hear):
+    def _arrive(self, name, request, decode, notify):
         if not request.closed:
-            self.engines[name].arrive(request, decode, hear)
+            self.engines[name].arrive(request, decode, notify)
 
     def _measure_delay(self, index, name):
-        same = ENTRIES[index] == self.upstreams[name].data_centre
-        return WITHIN_CENTRE if same else BETWEEN_CENTRES
+        same = ENTRY_CENTRES[index] == self.upstreams[name].data_centre
+        return SAME_CENTRE_DELAY if same else CROSS_CENTRE_DELAY
 
-    def _hear_event(self, request, index, name, attempt, sent, event, done):
-        """Act on what an upstream says of an attempt; a crossed one is dropped."""
+    def _handle_event(self, request, index, name, attempt, sent, event, done):
+        """Handle an upstream's event, unless a later attempt has replaced it."""
         if request.closed or request.attempts != attempt or request.upstream != name:
             return
         now = self.clock.now
@@ -258,4 +261,4 @@
             refusal = entry.retry(work, name, outcome, self.clock.now)
             if refusal is not None:
                 self._refuse(request, refusal)
-        self._poke(index)
+        self._run_scheduler(index)
