--- a/bench/decision.py
+++ b/bench/decision.py
@@ -1,6 +1,6 @@
-"""Time one decision at several sizes; run ``python -m bench.decision``.
+"""Time scheduling decisions at several sizes: ``python -m bench.decision``.
 
-One decision is an offer, its dispatch and its finish, with one load report besides.
+A decision is an offer, its dispatch and its finish, plus one load report.
 """
 
 import sys
@@ -36,7 +36,7 @@
 
 
 def main():
-    """Time every size, print the table and write it to the page."""
+    """Time all sizes, print the table and write it to the page."""
     rows = [_measure(size, customers) for size in UPSTREAMS for customers in CUSTOMERS]
     heads = ("upstreams", "customers", "calm, µs", "full, µs")
     text = f"{INTRO.format(decisions=DECISIONS)}\n\n{format_table(heads, rows)}"
@@ -66,7 +66,7 @@
 
 
 def time_decision(size, customers, started):
-    """Return microseconds a decision with so many requests in the system."""
+    """Return microseconds per decision with ``started`` requests already offered."""
     scheduler = _build(size, customers)
     rng = Random(SEED)
     running = []
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -1,9 +1,9 @@
-"""Play drawn deployments with the gateways' own decisions; compare two policies.
+"""Simulate random deployments with the gateway's own code; compare two policies.
 
-``python -m bench.experiment play out.json`` plays them with the sources as they are,
-``--set sizing.HEADROOM=2`` with another figure. ``compare one.json two.json`` tells by
-how much they differ on the same draws. Sockets, the store and the way of a request
-through a gateway aren't modelled, so that absolute figures are not a deployment's.
+``python -m bench.experiment play out.json`` simulates the code as it is; with ``--set
+sizing.HEADROOM=2`` it overrides a constant. ``compare one.json two.json`` prints the
+differences on the same seeds. Sockets, the store and the handling of a request inside
+a gateway are not modelled, so absolute results differ from those of a real deployment.
 """
 
 import importlib
@@ -30,29 +30,34 @@
 from .pages import format_table
 from .stepping import SLOTS, Run
 
-# Seconds between two words of what others have in flight, and how old they are then.
+# Interval in seconds between load reports of the gateways, and their age on receipt.
 WORD_AGE = 0.25
 ORDER_EVERY = 0.1
 ATTEMPTS = 3
-# Bytes of a token on the link between two engines, and bits a second.
+# Bytes of cache per token sent between two engines, and bits per second of the link.
 TOKEN_BYTES, LINK_RATE = 18_000.0, 3e11
-# Seconds of a usual instance that a token costs which is fetched.
+# Cost of a token fetched from another engine, in seconds of an on-demand instance.
 FETCHED_COST = 1e-5
-# What the users say that counts: the whole day, the worst seconds, data centre, kind.
+# Weights of the score: whole run, worst seconds, worst data centre, worst kind.
 DAY, WORST_SECONDS, WORST_CENTRE, WORST_KIND = 0.4, 0.28, 0.2, 0.12
+# Fraction of its worth that an answer after the latency target earns.
 LATE_PART = 0.1
 WINDOW = 2.0
 # Half-width of a 95 % interval in standard errors.
 INTERVAL = 1.96
 FIGURES = ("worth", "day", "window", "centre", "kind", "price", "kept", "late")
-# Whether the first gateway chooses for all; 0 lets each choose for itself.
+# 1 lets the first gateway choose upstreams for all; 0 lets each gateway choose.
 PLACED = 1
 PLACER = "first"
 app = typer.Typer(add_completion=False)
 
 
 class Outcome(NamedTuple):
-    """What became of one deployment; see FIGURES."""
+    """Results of one deployment, most as fractions of the worth of all requests.
+
+    ``kept`` is the fraction of prompt tokens found in a cache, ``late`` the fraction
+    of requests that earned less than half of their worth.
+    """
 
     worth: float
     day: float
@@ -65,7 +70,7 @@
 
 
 class Caller:
-    """One request on its way."""
+    """A caller's request and the upstreams that it was sent to."""
 
     __slots__ = (
         "arrival",
@@ -89,7 +94,7 @@
 
 
 class Play:
-    """One drawn deployment from the start of its instances to the last request."""
+    """Simulation of a deployment, from its first instance to its last request."""
 
     def __init__(self, deployment, arrivals, seed):
         self.deployment = deployment
@@ -113,17 +118,17 @@
         self._began = {}
 
     def run(self):
-        """Play and return the Outcome."""
+        """Run the simulation and return its Outcome."""
         others = int(np.ceil(1.5 * self.deployment.work)) + 2
         centres = [
             InstanceKind(CENTRES[n % len(CENTRES)], False) for n in range(others)
         ]
         self.market.start(Counter(centres))
         self._order()
-        self._tell_loads(None)
+        self._exchange_loads(None)
         lead = self.deployment.lead
         for caller in self.callers:
-            self.clock.call(lead + caller.arrival.at, self._ask, caller)
+            self.clock.call(lead + caller.arrival.at, self._send_request, caller)
         for wave in self.deployment.waves:
             self.clock.call(lead + wave.at, self.market.reclaim, wave)
         for at in self.deployment.crashes:
@@ -157,8 +162,8 @@
                 self.sizing.record_denied(kind, now)
         self.clock.call(ORDER_EVERY, self._order)
 
-    def _tell_loads(self, before):
-        """Tell each gateway what the others had in flight a moment ago."""
+    def _exchange_loads(self, before):
+        """Report to each gateway the others' load of ``WORD_AGE`` seconds ago."""
         now = self.clock.now
         if before is not None:
             for pool, others in zip(self.pools, before[0], strict=True):
@@ -172,11 +177,11 @@
             for pool in self.pools
         ]
         placed = [item for pool in self.pools for item in pool.caches.list_recent(now)]
-        words = list(leave_one_out(loads)), placed
-        self.clock.call(WORD_AGE, self._tell_loads, words)
+        reports = list(leave_one_out(loads)), placed
+        self.clock.call(WORD_AGE, self._exchange_loads, reports)
 
-    def _ask(self, caller):
-        """Let a caller ask a gateway of its data centre."""
+    def _send_request(self, caller):
+        """Send a caller's request to a gateway, preferably in its own data centre."""
         near = [p for n, p in enumerate(self.pools) if self._is_near(n, caller)]
         pool = self._rng.choice(near or self.pools)
         now = self.clock.now
@@ -186,14 +191,14 @@
             if found[1].seconds <= (caller.ends_at - now) * gateway.MAX_DEADLINE_PART:
                 self._send(pool, caller, found)
                 return
-        # Refused once, a caller comes back.
+        # A caller retries a refused request once.
         wait = self._rng.uniform(0.25, 1.0)
         if not caller.refused and now + wait < caller.ends_at:
             caller.refused = True
-            self.clock.call(wait, self._ask, caller)
+            self.clock.call(wait, self._send_request, caller)
 
     def _choose(self, pool, caller, now):
-        """Return the upstream state of a gateway that the first one chooses for it."""
+        """Return the upstream state and estimate that the first gateway chooses."""
         if not PLACED:
             return pool.choose(caller.demand, caller.tried, now)
         centre = CENTRES[self.pools.index(pool) % len(CENTRES)]
@@ -221,12 +226,12 @@
         run = Run(
             arrival.parts,
             arrival.output,
-            lambda event: self._hear(event, pool, caller, upstream_state),
+            lambda event: self._handle_event(event, pool, caller, upstream_state),
             estimate.source and self.market.engines[estimate.source.registration.name],
         )
         self.market.engines[name].arrive(run)
 
-    def _hear(self, event, pool, caller, upstream_state):
+    def _handle_event(self, event, pool, caller, upstream_state):
         now, key = self.clock.now, caller.demand.request_id
         if event == "first":
             pool.record_first_byte(upstream_state, caller.demand, now)
@@ -248,12 +253,12 @@
             self._send(pool, caller, found)
 
     def _find_placed(self, upstream_state):
-        """Return what the first gateway knows of another one's upstream state."""
+        """Return the first gateway's state of the same upstream."""
         name = upstream_state.registration.name
         return self.pools[0].upstream_states.get(name, upstream_state)
 
     def _earn(self, caller):
-        """Return what a caller's answer is worth."""
+        """Return the worth that a caller's answer earned; late ones earn a part."""
         first = self._began.get(caller)
         if first is None or first > caller.ends_at:
             return 0.0
@@ -291,7 +296,10 @@
         )
 
     def _split(self, earned, key):
-        """Return what each group earned; the smallest tenth says too little."""
+        """Return the fraction of its worth that each group earned.
+
+        Groups smaller than a quarter of the median are too small to judge.
+        """
         groups = {}
         for caller in self.callers:
             groups.setdefault(key(caller.arrival), []).append(caller)
@@ -304,13 +312,13 @@
 
 
 def measure_part(callers, earned):
-    """Return the part of their worth that callers were served."""
-    owed = sum(caller.arrival.worth for caller in callers)
-    return sum(earned[caller] for caller in callers) / owed
+    """Return the earned worth as a fraction of the worth of all requests."""
+    total = sum(caller.arrival.worth for caller in callers)
+    return sum(earned[caller] for caller in callers) / total
 
 
 def leave_one_out(loads):
-    """Yield for each of several loads by name the sum of all others."""
+    """Yield, for each mapping of names to loads, the sum of all other mappings."""
     for own in range(len(loads)):
         sums = {}
         for number, load in enumerate(loads):
@@ -321,16 +329,16 @@
 
 
 def play_seed(seed, changes, ranges):
-    """Return the Outcome of one draw, with other figures in force."""
+    """Return the Outcome of one seed, with the changed constants in force."""
     for change in changes:
-        set_figure(change)
+        set_constant(change)
     rng = np.random.default_rng(seed)
     deployment = draw(ranges, rng)
     return Play(deployment, draw_arrivals(deployment, rng), seed).run()
 
 
-def set_figure(change):
-    """Put ``module.NAME=number`` in force."""
+def set_constant(change):
+    """Set a constant, given as ``module.NAME=number``."""
     name, _, value = change.partition("=")
     module, _, figure = name.rpartition(".")
     number = float(value) if "." in value else int(value)
@@ -349,7 +357,7 @@
     ranges: Path | None = None,
     change: Annotated[list[str] | None, typer.Option("--set")] = None,
 ):
-    """Play as many draws and write their figures."""
+    """Simulate ``seeds`` random deployments and write their results."""
     drawn = read_ranges(*([ranges] if ranges else []))
     chosen = range(first, first + seeds)
     with ProcessPoolExecutor(jobs) as pool:
@@ -364,7 +372,7 @@
 
 @app.command()
 def compare(before: Path, after: Path):
-    """Tell by how much two files of figures differ, on the draws that both have."""
+    """Print the differences of two result files on the seeds that both have."""
     one, two = (json.loads(path.read_text()) for path in (before, after))
     seeds = sorted(one.keys() & two.keys(), key=int)
     rows = []
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""The experiment tool: the same draw each time, a market that runs dry, a fetch."""
+"""Tests of the experiment: reproducible results, refused orders and cache fetches."""
 
 import os
 import subprocess
@@ -18,27 +18,27 @@
 
 RANGES = read_ranges()
 SHORT = RANGES | {"seconds": 10.0, "work": [0.8, 0.8]}
-PLAYED = "play_seed(3, [], SHORT)"
+PLAY_EXPRESSION = "play_seed(3, [], SHORT)"
 ROOT = Path(__file__).resolve().parent.parent
 HISTORY = (PromptPart("history", 20_000), PromptPart("own", 100))
 
 
 def make_deployment(seed=1, **changes):
-    """Return a drawn deployment without troubles."""
+    """Return a random deployment without bursts, reclaims or crashes."""
     deployment = draw(SHORT, np.random.default_rng(seed))
     return deployment._replace(waves=(), bursts=(), crashes=(), **changes)
 
 
 class TestDraws(unittest.TestCase):
-    def test_one_seed_gives_one_outcome(self):
-        # Two policies are compared on the same draws; noise of its own would hide what
-        # they differ by.
+    def test_outcome_of_a_seed_is_reproducible(self):
+        # Two policies are compared on the same seeds; random variation between runs
+        # would hide their difference.
         self.assertEqual(play_seed(3, [], SHORT), play_seed(3, [], SHORT))
 
-    def test_one_seed_gives_one_outcome_in_every_process(self):
-        # Two policies are played by two processes, each with hashes of its own: what
-        # is drawn in the order of a set would differ between them, by 0.02 of worth.
-        program = f"from tests.test_experiment import *; print({PLAYED})"
+    def test_outcome_of_a_seed_is_independent_of_the_hash_seed(self):
+        # Two policies run in two processes with different hash seeds. Drawing in the
+        # order of a set would make their results differ, by 0.02 of worth.
+        program = f"from tests.test_experiment import *; print({PLAY_EXPRESSION})"
         outcomes = set()
         for number in ("0", "1", "2"):
             argv = [sys.executable, "-c", program]
@@ -46,7 +46,7 @@
             outcomes.add(subprocess.check_output(argv, cwd=ROOT, env=env))
         self.assertEqual(len(outcomes), 1)
 
-    def test_calm_is_served(self):
+    def test_load_without_faults_is_served(self):
         deployment = make_deployment()
         arrivals = draw_arrivals(deployment, np.random.default_rng(1))
         found = Play(deployment, arrivals, 1).run()
@@ -56,14 +56,14 @@
 class TestMarket(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
-        self.told = []
+        self.changed = []
         self.deployment = make_deployment()
         self.market = Market(
-            self.clock, self.deployment, lambda item, gone: self.told.append(item)
+            self.clock, self.deployment, lambda item, gone: self.changed.append(item)
         )
         self.market.start({InstanceKind("a", True): 2, InstanceKind("b", True): 1})
 
-    def test_a_wave_takes_one_place_and_dries_the_market(self):
+    def test_reclaim_affects_one_data_centre_and_blocks_reclaimable_orders(self):
         self.market.reclaim(Wave(0.0, "a", notice=2.0, dry=10.0))
         self.assertFalse(self.market.order(InstanceKind("c", True), 1))
         self.assertTrue(self.market.order(InstanceKind("c", False), 1))
@@ -73,7 +73,7 @@
         self.assertNotIn(InstanceKind("a", True), kinds)
         self.assertIn(InstanceKind("b", True), kinds)
 
-    def test_what_is_there_is_paid_for(self):
+    def test_running_instances_are_paid_for(self):
         self.clock.run(10.0)
         self.market.count_paid()
         prices, part = (
@@ -89,19 +89,23 @@
         self.clock = Clock()
         self.figures = make_deployment().engine
 
-    def read(self, engine, source=None):
-        """Return the seconds until the first token."""
+    def measure_first_token(self, engine, source=None):
+        """Return the seconds from arrival to the first token of a request."""
         began, at = self.clock.now, {}
-        heard = lambda event: at.setdefault(event, self.clock.now)
-        engine.arrive(Run(HISTORY, 4, heard, source))
+        notify = lambda event: at.setdefault(event, self.clock.now)
+        engine.arrive(Run(HISTORY, 4, notify, source))
         self.clock.run(began + 5.0)
         return at["first"] - began
 
-    def test_a_history_that_is_kept_or_fetched_is_not_read(self):
-        one, two, three = (SteppingEngine(self.clock, self.figures) for _ in range(3))
-        cold = self.read(one)
-        self.assertLess(self.read(one), cold / 3)
-        self.assertLess(self.read(two, source=one), cold / 3)
-        self.assertEqual(two.fetched_tokens, 20_000)
-        one.kill()
-        self.assertGreaterEqual(self.read(three, source=one), cold * 0.99)
+    def test_cached_or_fetched_history_needs_no_prefill(self):
+        first, second, third = (
+            SteppingEngine(self.clock, self.figures) for _ in range(3)
+        )
+        cold = self.measure_first_token(first)
+        self.assertLess(self.measure_first_token(first), cold / 3)
+        self.assertLess(self.measure_first_token(second, source=first), cold / 3)
+        self.assertEqual(second.fetched_tokens, 20_000)
+        first.kill()
+        self.assertGreaterEqual(
+            self.measure_first_token(third, source=first), cold * 0.99
+        )
