--- a/bench/allowances.py
+++ b/bench/allowances.py
@@ -1,9 +1,9 @@
-"""What a customer has run beyond its limit, and is refused below it, by fleet size.
+"""Measure rate limiting by fleet size: work above the limit and refusals below it.
 
 ``python -m bench.allowances`` draws docs/design/allowances.png and prints its figures.
-Two schemes are played on the same arrivals: credit that is passed on, by the gateway's
-own code, and the whole bucket at each instance, from which words of the others take off
-what they spent some time ago.
+It compares two schemes on the same load: the gateway's own code, which passes credit
+between instances, and a whole token bucket at each instance, from which the spending
+of the other instances is subtracted after a delay.
 """
 
 import random
@@ -27,19 +27,20 @@
 SEEDS = (1, 2, 3)
 AGES = (0.2, 0.6, 1.2)
 WINDOW = 8.0
-SETTLE = 4.0
+SETTLE_TIME = 4.0
 COST = 5000.0
-# Mean of a log-normal cost with a spread of 1, in medians.
+# Mean of a log-normal distribution with sigma 1, as a multiple of its median.
 MEAN_COST = 1.6487
 LARGEST = 56_000.0
-# Seconds without a word from the others after which an instance keeps to its part.
-HEARD_FOR = 1.5
+# Seconds without reports after which an instance limits itself to its own share.
+REPORT_TIMEOUT = 1.5
 
 
 class Load(NamedTuple):
-    """A customer's load: what it asks in parts of its rate, and what is cut off.
+    """A customer's load; ``asked`` is the requested work as a multiple of ``rate``.
 
-    ``rate`` is in cost a second; the burst is one second of it.
+    ``rate`` is in cost per second; the burst is one second of it. ``cut`` says whether
+    a third of the instances is partitioned from the others.
     """
 
     name: str
@@ -54,7 +55,7 @@
 
 
 class Outcome(NamedTuple):
-    """Seconds of the rate run beyond burst and rate, and the part refused."""
+    """Work above burst and rate, in seconds of the rate, and the fraction refused."""
 
     beyond: float
     refused: float
@@ -68,7 +69,7 @@
 
 
 def measure(load, ran, asked, refused):
-    """Return the Outcome of what ran, was asked and was refused."""
+    """Return the Outcome of the requests that ran, were asked and were refused."""
     most = measure_most(ran, "customer", WINDOW)
     cost = sum(item.cost for item in asked)
     return Outcome(
@@ -77,22 +78,22 @@
     )
 
 
-def play_credit(size, load, seed):
-    """Play the gateway's own scheme."""
+def simulate_credit(size, load, seed):
+    """Simulate the gateway's own scheme."""
     fleet = Fleet(size, [make_traffic(load)], seed)
-    fleet.run(SETTLE)
+    fleet.run(SETTLE_TIME)
     fleet.ran.clear()
     fleet.asked.clear()
     fleet.refused.clear()
     if load.cut:
-        some = random.Random(seed).sample(range(size), size // 3)
-        fleet.cut({name: 1 + place for place, name in enumerate(some)})
+        partitioned = random.Random(seed).sample(range(size), size // 3)
+        fleet.cut({name: 1 + place for place, name in enumerate(partitioned)})
     fleet.run(load.seconds)
     return measure(load, fleet.ran, fleet.asked, fleet.refused)
 
 
 class WholeBuckets:
-    """Every instance holds the whole bucket and hears of the others after ``age``."""
+    """A whole bucket per instance; spending is reported to the others after ``age``."""
 
     def __init__(self, size, rate, age, cut):
         self.size = size
@@ -103,19 +104,19 @@
         self._spent = deque([[0.0] * size for _ in range(self._steps)])
 
     def step(self, now):
-        """Let a step's credit come in, and the words of ``age`` ago."""
-        told = self._spent.popleft()
-        total = sum(told)
+        """Add a step's credit and subtract the spending reported from ``age`` ago."""
+        reported = self._spent.popleft()
+        total = sum(reported)
         self._spent.append([0.0] * self.size)
         for index in range(self.size):
-            alone = index in self.cut and now > HEARD_FOR
-            part = 1.0 / self.size if alone else 1.0
+            isolated = index in self.cut and now > REPORT_TIMEOUT
+            part = 1.0 / self.size if isolated else 1.0
             level = self.levels[index] + self.rate * STEP * part
-            heard = 0.0 if index in self.cut else total - told[index]
-            self.levels[index] = min(self.rate * part, level) - heard
+            peer_spending = 0.0 if index in self.cut else total - reported[index]
+            self.levels[index] = min(self.rate * part, level) - peer_spending
 
     def spend(self, index, cost):
-        """Spend if the credit seems to be there, and tell whether it was."""
+        """Spend the cost if the local level allows it; return whether it did."""
         if self.levels[index] < cost:
             return False
         self.levels[index] -= cost
@@ -123,8 +124,8 @@
         return True
 
 
-def play_whole(size, load, seed, age):
-    """Play the whole bucket at each instance."""
+def simulate_whole_buckets(size, load, seed, age):
+    """Simulate a whole bucket at each instance."""
     rng = random.Random(seed)
     cut = set(rng.sample(range(size), size // 3)) if load.cut else set()
     buckets = WholeBuckets(size, load.rate, age, cut)
@@ -142,8 +143,8 @@
     return measure(load, ran, asked, refused)
 
 
-def play_exact(size, load, seed):
-    """Play one exact bucket that everybody sees at once."""
+def simulate_exact_bucket(size, load, seed):
+    """Simulate one exact bucket that all instances share without delay."""
     fleet = Fleet(1, [make_traffic(load)], seed)
     fleet.run(load.seconds)
     cost = sum(item.cost for item in fleet.asked)
@@ -152,19 +153,22 @@
 
 
 def list_schemes():
-    """Return name and function of each scheme."""
-    schemes = [("credit passed on", play_credit), ("one exact bucket", play_exact)]
+    """Return the name and the simulation function of each scheme."""
+    schemes = [
+        ("credit passed on", simulate_credit),
+        ("one exact bucket", simulate_exact_bucket),
+    ]
     for age in AGES:
 
         def play(size, load, seed, age=age):
-            return play_whole(size, load, seed, age)
+            return simulate_whole_buckets(size, load, seed, age)
 
         schemes.append((f"whole buckets, words {age:g} s old", play))
     return schemes
 
 
 def main():
-    """Play all, print the figures and draw them."""
+    """Simulate all schemes, print the figures and plot them."""
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(1, 2, figsize=(11, 4))
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,8 @@
-"""Work the design size out from measured slopes, role by role.
+"""Extrapolate the resources needed at the design size from measured unit costs.
 
-``python -m bench.capacity`` measures the slopes that exist and rewrites the tables of
-docs/CAPACITY.md. A role's rows come from one function in ROLES; a slope that no bench
-gives yet is a row with MISSING.
+``python -m bench.capacity`` measures the unit costs and rewrites the tables of
+docs/CAPACITY.md. Each function in ROLES returns the rows of one role; a unit cost that
+no benchmark measures has a row with MISSING.
 """
 
 import time
@@ -24,24 +24,27 @@
 
 PAGE = DOCS / "CAPACITY.md"
 
-# Letter 1, "The size to design for".
+# The size to design for: a fleet at its peak. TOKEN_GAP is in seconds between tokens of
+# a stream; CHANGES_PER_DAY counts changes of the configuration.
 NODES = 320
 WORKERS = 660
-REQUESTS = 11_000
-TOKENS = 3_000_000
-GAP = 0.063
-CHANGES = 580
+REQUESTS_PER_SECOND = 11_000
+TOKENS_PER_SECOND = 3_000_000
+TOKEN_GAP = 0.063
+CHANGES_PER_DAY = 580
 CENTRES = 5
-DAY = 86_400
+DAY_SECONDS = 86_400
 
-# What the letter does not say and this page assumes.
-KEYED = 0.1
+# Assumptions. KEYED_PART is the fraction of requests with an idempotency key,
+# MAX_UTILISATION the highest fraction of a core that a process may use.
+KEYED_PART = 0.1
 CUSTOMERS = 200
 CLASSES = 4
 POOLS = 40
-USE = 0.7
+MAX_UTILISATION = 0.7
 
-# The budgets: letter 1 for a node, the brief for the platform ("several hundred").
+# Budgets: CPU in µs/s, memory in bytes and bytes/s per node; store writes and reads per
+# second for the fleet. The platform allows several hundred writes a second.
 CPU_BUDGET = 12_000
 MEMORY_BUDGET = 128_000_000
 BYTES_BUDGET = 3_000
@@ -64,7 +67,7 @@
 
 
 class Row(NamedTuple):
-    """One figure at the design size; ``budget`` names what it counts against."""
+    """A figure at the design size; ``budget`` names the budget it counts towards."""
 
     role: str
     what: str
@@ -75,14 +78,14 @@
     budget: str = ""
 
 
-def missing(role, what, command):
-    """Return a row that waits for a bench."""
+def make_missing_row(role, what, command):
+    """Return a row for a figure that no benchmark measures yet."""
     return Row(role, what, "-", None, MISSING, command)
 
 
 @cache
 def measure_path():
-    """Return the costs of the data path, from real processes."""
+    """Return the costs of the data path, measured on real processes."""
     return path.measure_all(LOAD)
 
 
@@ -92,12 +95,12 @@
     figures = measure_path()
     token = figures.longs[1].per_token
     request = figures.shorts[1].seconds / LOAD.streams * 1e6
-    tokens, requests = TOKENS / NODES, REQUESTS / NODES
+    tokens, requests = TOKENS_PER_SECOND / NODES, REQUESTS_PER_SECOND / NODES
     cores = (tokens * token + requests * request) / 1e6
     return [
         Row(role, "tokens/s", "letter 1", tokens, "given", "-"),
         Row(role, "requests/s", "letter 1", requests, "given", "-"),
-        Row(role, "streams open", "63 ms a token", tokens * GAP, "given", "-"),
+        Row(role, "streams open", "63 ms a token", tokens * TOKEN_GAP, "given", "-"),
         Row(
             role,
             "cores",
@@ -108,9 +111,9 @@
         ),
         Row(
             role,
-            f"processes at {USE:.0%} use",
+            f"processes at {MAX_UTILISATION:.0%} use",
             f"1 a core, {1e6 / token:.0f} tokens/s at most",
-            ceil(cores / USE),
+            ceil(cores / MAX_UTILISATION),
             EXTRAPOLATED,
             command,
         ),
@@ -132,7 +135,7 @@
             command,
             IDLE_MEMORY,
         ),
-        missing(role, "bytes of memory a stream", "-"),
+        make_missing_row(role, "bytes of memory a stream", "-"),
     ]
 
 
@@ -141,7 +144,7 @@
     role, command = "peers and membership", "bench.gossip"
     fleet = gossip.make_fleet(NODES)
     idle = gossip.measure_idle(fleet)
-    wave = gossip.spread_notices(fleet, gossip.WAVE)
+    wave = gossip.spread_notices(fleet, gossip.NOTICE_BURST)
     memory = gossip.measure_memory(NODES)
     return [
         Row(role, "messages/s sent", "quiet", idle.frames, MEASURED, command),
@@ -149,7 +152,7 @@
         Row(role, "bytes/s, worst node", "quiet", idle.worst, MEASURED, command),
         Row(
             role,
-            f"bytes a node for {gossip.WAVE} notices",
+            f"bytes a node for {gossip.NOTICE_BURST} notices",
             f"at once, all heard in {wave.seconds or 0:.1f} s",
             wave.bytes,
             MEASURED,
@@ -196,7 +199,7 @@
             "bytes/s of values, mean of a day",
             f"{spending.value_bytes / 1000:.1f} KB a change and node, "
             f"for a value of {len(value) / 1000:.0f} KB",
-            spending.value_bytes * CHANGES / DAY,
+            spending.value_bytes * CHANGES_PER_DAY / DAY_SECONDS,
             EXTRAPOLATED,
             command,
             BYTES,
@@ -239,8 +242,8 @@
         Row(
             role,
             "writes/s, fleet",
-            f"{CHANGES} changes a day",
-            CHANGES / DAY,
+            f"{CHANGES_PER_DAY} changes a day",
+            CHANGES_PER_DAY / DAY_SECONDS,
             "given",
             "-",
             WRITES,
@@ -269,7 +272,7 @@
     """Return the rows of the claims, for the fleet and the busiest node."""
     role, command = "claims for at-most-once", "bench.claims"
     cfg = ClaimSettings()
-    keyed = REQUESTS * KEYED
+    keyed = REQUESTS_PER_SECOND * KEYED_PART
     bench = claims.Bench(claims.Case("owners", NODES, keyed), cfg)
     bench.run()
     writes, reads, size = (
@@ -300,12 +303,12 @@
         ),
         Row(role, "CPU, µs/s, busiest node", slope, max(spent), MEASURED, command, CPU),
         Row(role, "CPU, µs/s, mean", slope, sum(spent) / NODES, MEASURED, command),
-        missing(role, "bytes of memory", "-"),
+        make_missing_row(role, "bytes of memory", "-"),
     ]
 
 
 def list_load_rows():
-    """Return the rows of load and cache knowledge, per node."""
+    """Return the rows of load reports and cache state, per node."""
     role = "load and cache knowledge"
     near = WORKERS / CENTRES
     busy = decision.SLOTS * WORKERS
@@ -346,12 +349,12 @@
             EXTRAPOLATED,
             "-",
         ),
-        missing(role, "bytes/s", "-"),
+        make_missing_row(role, "bytes/s", "-"),
         Row(
             role,
             "CPU of decisions, µs/s, half of the slots busy",
             f"{calm:.0f} µs, one pool of {WORKERS}; part of the data path",
-            calm * REQUESTS / NODES,
+            calm * REQUESTS_PER_SECOND / NODES,
             EXTRAPOLATED,
             "bench.decision",
         ),
@@ -359,11 +362,11 @@
             role,
             "CPU of decisions, µs/s, all busy and a full queue",
             f"{full:.0f} µs, one pool of {WORKERS}; part of the data path",
-            full * REQUESTS / NODES,
+            full * REQUESTS_PER_SECOND / NODES,
             EXTRAPOLATED,
             "bench.decision",
         ),
-        missing(role, "bytes of memory a prefix", "-"),
+        make_missing_row(role, "bytes of memory a prefix", "-"),
     ]
 
 
@@ -392,15 +395,15 @@
             command,
             READS,
         ),
-        missing(role, "CPU, µs a plan", "-"),
-        missing(role, "bytes/s", "-"),
+        make_missing_row(role, "CPU, µs a plan", "-"),
+        make_missing_row(role, "bytes/s", "-"),
     ]
 
 
 def measure_holders(seconds=300):
-    """Return writes and reads a second of the contenders for one pool, once held.
+    """Return writes and reads per second of all contenders for one pool's lease.
 
-    A renewal is counted as a write.
+    A renewal counts as a write.
     """
     cfg = OrderSettings()
     names = [f"entry-{n}" for n in range(NODES // CENTRES)]
@@ -418,10 +421,10 @@
 
 
 def answer_holder(holder, action, record, now):
-    """Answer one call as the key-value service would, and what follows from it."""
-    todo = [action]
-    while todo:
-        call = todo.pop()
+    """Reply to a call as the key-value store does, and to the calls that follow."""
+    pending = [action]
+    while pending:
+        call = pending.pop()
         kind = type(call.request).__name__
         if kind == "Write":
             record.append(call.request.value)
@@ -433,7 +436,7 @@
             "Grant": granted,
             "Renew": granted,
         }
-        todo += holder.receive(call.token, replies[kind], now)
+        pending += holder.receive(call.token, replies[kind], now)
 
 
 def list_metric_rows():
@@ -464,16 +467,16 @@
             role,
             "CPU, µs/s, every token recorded",
             f"{record:.2f} µs a value; part of the data path",
-            record * TOKENS / NODES,
+            record * TOKENS_PER_SECOND / NODES,
             EXTRAPOLATED,
             command,
         ),
-        missing(role, "bytes/s of a scrape", "-"),
+        make_missing_row(role, "bytes/s of a scrape", "-"),
     ]
 
 
 def measure_series(pairs=20, values=50_000):
-    """Return the bytes of one customer and class, and µs to record a value."""
+    """Return the bytes per customer and class, and the µs to record a value."""
     tracemalloc.start()
     stats = Stats(pairs)
     before, _ = tracemalloc.get_traced_memory()
@@ -490,7 +493,7 @@
 
 
 def list_frame_rows():
-    """Return the rows of the codec, which all roles between instances share."""
+    """Return the rows of the frame codec, which all traffic between instances uses."""
     role, command = "frames between instances", "bench.capacity"
     frame = Frame("ping", b"12345678")
     return [
@@ -514,7 +517,7 @@
 
 
 def measure_frame(frame, times=20_000):
-    """Return µs to encode and decode a frame."""
+    """Return the µs to encode and decode a frame."""
     decoder = Decoder()
     start = time.process_time()
     for _ in range(times):
@@ -545,14 +548,14 @@
 
 
 def show(figure):
-    """Return a figure with a precision that suits its size."""
+    """Return a figure as text: whole from 100 up, else with three digits."""
     if figure is None:
         return MISSING
     return f"{figure:,.0f}" if figure >= 100 else f"{figure:.3g}"
 
 
 def list_budget_rows(rows):
-    """Return a line for each budget: what the measured roles spend, and what lacks."""
+    """Return a line per budget with its sum, and the roles that lack a figure."""
     unmeasured = sorted({row.role for row in rows if row.figure is None})
     lines = []
     for name, budget in BUDGETS.items():
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -1,7 +1,7 @@
-"""Measure what claims cost the store: ``python -m bench.claims``.
+"""Measure the load of claims on the store: ``python -m bench.claims``.
 
-A counting store in memory answers after a millisecond each way; instances are
-1.5 ms apart. Time is simulated, but for the processor time, which is the core's own.
+An in-memory store counts the requests; the delay to it is 1 ms each way, and 1.5 ms
+between instances. Time is simulated, but the processor time of the ledgers is real.
 """
 
 import heapq
@@ -24,15 +24,19 @@
 MEAN_WORK = 3.0
 SECONDS = 20
 BODY = "x" * 300
-RATE = 11_000
-HEAD = (
+REQUESTS_PER_SECOND = 11_000
+TABLE_HEADS = (
     "way", "instances", "keyed/s", "writes/s", "rejected/s", "reads/s", "KB/s",
     "p50 ms", "p99 ms", "refused", "busiest %",
 )  # fmt: skip
 
 
 class Case(NamedTuple):
-    """One measurement: a write a request, each for itself, or with owners."""
+    """A measurement; ``way`` is "one write", "alone" or "owners".
+
+    These write each request to the store, batch the requests of an instance, or batch
+    them at the owner of their shard. ``keyed`` is in requests per second.
+    """
 
     way: str
     instances: int
@@ -40,37 +44,37 @@
 
 
 class OneWrite:
-    """The simplest way: a key of the store's for each request, written twice."""
+    """The simplest scheme: a key in the store for each request, written twice."""
 
     def __init__(self, cfg, name):
         self.calls = {}
         self.versions = {}
 
     def claim(self, operation, key, fingerprint, now):
-        """Create the request's own key."""
+        """Create the key of the request in the store."""
         self.calls[operation] = key
         return (m.StoreCall(operation, m.Write(str(key), "claimed", m.ABSENT)),)
 
     def settle(self, operation, outcome, now):
-        """Write the outcome over it."""
+        """Overwrite the request's key with its outcome."""
         key = str(self.calls.pop(operation))
         request = m.Write(key, outcome.body, self.versions[operation])
         return (m.StoreCall(operation, request),)
 
     def receive(self, token, reply, now):
-        """Take the store's reply."""
+        """Grant the claim once the store confirms its write."""
         if token not in self.calls:
             return ()
         self.versions[token] = reply.version
         return (ClaimGranted(token, self.calls[token], now),)
 
     def tick(self, now):
-        """Nothing comes due."""
+        """Return no actions: nothing is scheduled."""
         return ()
 
 
 class Bench:
-    """A fleet of ledgers on a simulated clock and a store that counts."""
+    """A fleet of ledgers on a simulated clock, with a store that counts requests."""
 
     def __init__(self, case, cfg):
         self.case = case
@@ -91,35 +95,35 @@
             for ledger in self.ledgers.values():
                 ledger.enlist(names)
 
-    def later(self, delay, act, *args):
-        """Run something after a delay in seconds."""
+    def schedule(self, delay, act, *args):
+        """Schedule a call of ``act`` after ``delay`` seconds."""
         entry = (self.now + delay, next(self.order), act, args)
         heapq.heappush(self.events, entry)
 
     def run(self):
-        """Send the keyed requests, and let all come to an end."""
+        """Send the keyed requests and run until two seconds after the last."""
         for number in range(int(self.case.keyed * SECONDS)):
             name = self.rng.choice(list(self.ledgers))
-            self.later(number / self.case.keyed, self.claim, name, f"op-{number}")
+            self.schedule(number / self.case.keyed, self.claim, name, f"op-{number}")
         for name in self.ledgers:
-            self.later(self.rng.uniform(0, TICK), self.tick, name)
+            self.schedule(self.rng.uniform(0, TICK), self.tick, name)
         while self.events and self.now < EPOCH + SECONDS + 2:
             self.now, _, act, args = heapq.heappop(self.events)
             act(*args)
 
     def tick(self, name):
-        """Tick one ledger, and again."""
+        """Tick a ledger now and every TICK seconds."""
         self.call(name, "tick")
-        self.later(TICK, self.tick, name)
+        self.schedule(TICK, self.tick, name)
 
     def claim(self, name, operation):
-        """Ask for a new key."""
+        """Claim a new key at an instance."""
         self.asked[operation] = self.now
         key = ClaimKey("andesur", make_key(self.now, self.rng))
         self.call(name, "claim", operation, key, "0123456789abcdef")
 
     def call(self, name, method, *args):
-        """Hand an input to a ledger and carry out its actions."""
+        """Call a ledger's method, add up its processor time, carry out its actions."""
         begun = time.process_time()
         actions = getattr(self.ledgers[name], method)(*args, self.now)
         spent = time.process_time() - begun
@@ -128,11 +132,11 @@
             HANDLERS.get(type(action), lambda *_: None)(self, name, action)
 
     def store(self, name, action):
-        """Bring a request to the store and its reply back."""
-        self.later(STORE_DELAY, self.serve, name, *action)
+        """Send a request to the store after the store delay."""
+        self.schedule(STORE_DELAY, self.serve, name, *action)
 
     def serve(self, name, token, request):
-        """Carry a request out and count it."""
+        """Execute a store request, count it and send the reply."""
         self.counts[type(request).__name__] += 1
         value, version = self.records.get(request.key, ("", 0))
         if isinstance(request, m.Read):
@@ -144,21 +148,21 @@
             self.records[request.key] = request.value, version + 1
             self.counts["bytes"] += len(request.value)
             reply = m.Written(version + 1)
-        self.later(STORE_DELAY, self.call, name, "receive", token, reply)
+        self.schedule(STORE_DELAY, self.call, name, "receive", token, reply)
 
     def forward(self, name, action):
-        """Bring a message to another instance."""
+        """Deliver a message to another instance after the peer delay."""
         args = action.instance, "hear", name, action.message
-        self.later(PEER_DELAY, self.call, *args)
+        self.schedule(PEER_DELAY, self.call, *args)
 
     def granted(self, name, action):
-        """Count how long the claim took, and settle it later."""
+        """Record the latency of the claim and settle it after a random duration."""
         self.waits.append(self.now - self.asked[action.operation])
         args = name, "settle", action.operation, Outcome(200, BODY)
-        self.later(self.rng.expovariate(1 / MEAN_WORK), self.call, *args)
+        self.schedule(self.rng.expovariate(1 / MEAN_WORK), self.call, *args)
 
     def refuse(self, name, action):
-        """Count a refusal."""
+        """Count a refused claim."""
         self.refused += 1
 
 
@@ -171,7 +175,7 @@
 
 
 def measure(case, cfg):
-    """Return the row of one case."""
+    """Run a case and return its row of the table, in the order of TABLE_HEADS."""
     bench = Bench(case, cfg)
     bench.run()
     waits = sorted(bench.waits) or [0.0]
@@ -188,9 +192,14 @@
 
 
 def main():
-    """Print a row for each way, fleet and load."""
-    print(" | ".join(HEAD))
-    loads = [(7, 2), (7, 100), (320, RATE * 0.05), (320, RATE * 0.1)]
+    """Print a row for each scheme, fleet size and load."""
+    print(" | ".join(TABLE_HEADS))
+    loads = [
+        (7, 2),
+        (7, 100),
+        (320, REQUESTS_PER_SECOND * 0.05),
+        (320, REQUESTS_PER_SECOND * 0.1),
+    ]
     for way in ("one write", "alone", "owners"):
         for instances, keyed in loads:
             row = measure(Case(way, instances, keyed), ClaimSettings())
--- a/bench/gossip.py
+++ b/bench/gossip.py
@@ -1,4 +1,4 @@
-"""Measure how fast and at what cost gossip reaches all instances, by simulated time.
+"""Measure the speed and cost of gossip to all instances, in simulated time.
 
 ``python -m bench.gossip`` rewrites its section of docs/MEASUREMENTS.md.
 """
@@ -18,24 +18,26 @@
 SIZES = (8, 64, 320)
 LOSSES = (0.0, 0.05, 0.2)
 SEED = 1
-NOTICES = 4
-WAVE = 130
-PATIENCE = 60.0
-SETTLE = 12.0
-IDLE = 20.0
-CUT = 30.0
-BEFORE_LOSS = 0.5
+NOTICE_COUNT = 4
+NOTICE_BURST = 130
+TIMEOUT = 60.0
+SETTLE_TIME = 12.0
+IDLE_TIME = 20.0
+# Seconds from a partition or crash to its repair or to the later notices.
+FAULT = 30.0
+# Seconds from a partition or crash to the first notice.
+NOTICE_DELAY = 0.5
 
 
 class Spread(NamedTuple):
-    """How long and how many bytes per instance it took to reach all."""
+    """Seconds to reach all instances, None on a timeout, and bytes per instance."""
 
     seconds: float | None
     bytes: float
 
 
 class Idle(NamedTuple):
-    """What one instance spends when nothing happens, a second."""
+    """Cost of an idle instance per second; ``memory`` is in bytes."""
 
     bytes: float
     worst: float
@@ -45,15 +47,15 @@
 
 
 def make_fleet(size, loss=0.0):
-    """Return a fleet whose instances know each other and have chosen their links."""
+    """Return a fleet whose members are introduced and have chosen their links."""
     fleet = Fleet(size, SEED, loss)
     fleet.introduce()
-    fleet.run(SETTLE)
+    fleet.run(SETTLE_TIME)
     return fleet
 
 
 def make_value(number):
-    """Return a configuration of the design size: 660 engines, 200 customers."""
+    """Return a JSON configuration of the design size: 660 engines, 200 customers."""
     upstreams = [
         {
             "name": f"engine-{n}",
@@ -74,12 +76,12 @@
 
 
 def sum_bytes(fleet):
-    """Return the bytes sent so far per instance, headers counted."""
+    """Return the bytes sent so far per instance, including headers."""
     return fleet.sent_bytes.total() / len(fleet.nodes)
 
 
 def spread_notices(fleet, count):
-    """Publish notices at one instance and wait for all to hear all."""
+    """Publish notices at one instance and wait until all instances received them."""
     address = fleet.rng.choice(list(fleet.nodes))
     stamp = f"{fleet.now:.3f}"
     notices = [
@@ -89,45 +91,45 @@
     before = sum_bytes(fleet)
     for notice in notices:
         fleet.take(address, fleet.nodes[address].publish(notice, fleet.now))
-    seconds = fleet.run(PATIENCE, partial(heard_by_all, fleet, notices))
+    seconds = fleet.run(TIMEOUT, partial(received_by_all, fleet, notices))
     return Spread(seconds, sum_bytes(fleet) - before)
 
 
-def heard_by_all(fleet, notices):
-    """Tell whether all instances heard all notices."""
+def received_by_all(fleet, notices):
+    """Return whether all instances received all notices."""
     return all(fleet.all_heard(notice) for notice in notices)
 
 
 def spread_revision(fleet, number):
-    """Publish a configuration at one instance and wait for all to hold it."""
+    """Publish a configuration at one instance and wait until all instances have it."""
     address = fleet.rng.choice(list(fleet.nodes))
     before = fleet.value_bytes
     node = fleet.nodes[address]
     node.publish_revision(number, make_value(number), fleet.now)
-    seconds = fleet.run(PATIENCE, partial(held_by_all, fleet, number))
+    seconds = fleet.run(TIMEOUT, partial(held_by_all, fleet, number))
     return Spread(seconds, (fleet.value_bytes - before) / len(fleet.nodes))
 
 
 def held_by_all(fleet, number):
-    """Tell whether all instances hold the value of a revision."""
+    """Return whether all instances have the value of a revision."""
     return all(node.revision() == number for node in fleet.nodes.values())
 
 
 def measure_idle(fleet):
-    """Return what each instance spends in a quiet time."""
+    """Return the Idle cost per instance, without any notices."""
     before, headers = fleet.sent_bytes.copy(), fleet.headers
     start = time.process_time()
-    fleet.run(IDLE)
+    fleet.run(IDLE_TIME)
     cpu = time.process_time() - start
     fleet.sent_bytes.subtract(before)
-    spent = [fleet.sent_bytes[at] / IDLE for at in fleet.nodes]
-    frames = (fleet.headers - headers) / 52 / IDLE / len(fleet.nodes)
-    micros = cpu * 1e6 / IDLE / len(fleet.nodes)
+    spent = [fleet.sent_bytes[at] / IDLE_TIME for at in fleet.nodes]
+    frames = (fleet.headers - headers) / 52 / IDLE_TIME / len(fleet.nodes)
+    micros = cpu * 1e6 / IDLE_TIME / len(fleet.nodes)
     return Idle(statistics.mean(spent), max(spent), frames, micros, 0.0)
 
 
 def measure_memory(size):
-    """Return the bytes of memory of one instance that knows ``size`` others."""
+    """Return the bytes that the records of ``size`` others take at one instance."""
     tracemalloc.start()
     fleet = Fleet(1, SEED)
     records = Fleet(size, SEED)
@@ -142,17 +144,17 @@
 
 
 def measure_start(size):
-    """Return the time until all instances that start at once know each other."""
+    """Return the Spread until all instances, started at once, know each other."""
     fleet = Fleet(size, SEED)
-    seconds = fleet.run(PATIENCE, fleet.agree)
+    seconds = fleet.run(TIMEOUT, fleet.agree)
     return Spread(seconds, sum_bytes(fleet))
 
 
-def measure_cut(size, centres):
-    """Return a row: a notice just after a cut, news of both sides after healing."""
+def measure_partition(size, centres):
+    """Return a row on a partition: a notice during it, both sides' notices after it."""
     fleet = make_fleet(size)
     fleet.cut = set(centres)
-    fleet.run(BEFORE_LOSS)
+    fleet.run(NOTICE_DELAY)
     sides = [
         [at for at, node in fleet.nodes.items() if (node.centre in centres) is inside]
         for inside in (False, True)
@@ -163,38 +165,38 @@
     for side, notice in zip(sides, notices, strict=True):
         node = fleet.nodes[side[0]]
         fleet.take(side[0], node.publish(notice, fleet.now))
-    during = fleet.run(PATIENCE, partial(fleet.all_heard, notices[0], sides[0]))
-    fleet.run(CUT)
+    during = fleet.run(TIMEOUT, partial(fleet.all_heard, notices[0], sides[0]))
+    fleet.run(FAULT)
     suspects = sum(node.describe().suspects for node in fleet.nodes.values())
     fleet.cut = set()
-    healed = fleet.run(PATIENCE, partial(heard_by_all, fleet, notices))
-    fleet.run(SETTLE)
-    later = [spread_notices(fleet, 1).seconds or PATIENCE for _ in range(NOTICES)]
+    healed = fleet.run(TIMEOUT, partial(received_by_all, fleet, notices))
+    fleet.run(SETTLE_TIME)
+    later = [spread_notices(fleet, 1).seconds or TIMEOUT for _ in range(NOTICE_COUNT)]
     what = f"{' and '.join(centres)} cut off"
     return [size, what, show(during), show(healed), show(max(later)), suspects]
 
 
 def measure_reclaim(size):
-    """Return a row: a notice just after a data centre died without a word."""
+    """Return a row on a notice just after a whole data centre crashed."""
     fleet = make_fleet(size)
     for address, node in list(fleet.nodes.items()):
         if node.centre == "c":
             fleet.stop(address)
-    fleet.run(BEFORE_LOSS)
+    fleet.run(NOTICE_DELAY)
     during = spread_notices(fleet, 1).seconds
-    fleet.run(CUT)
-    later = [spread_notices(fleet, 1).seconds or PATIENCE for _ in range(NOTICES)]
+    fleet.run(FAULT)
+    later = [spread_notices(fleet, 1).seconds or TIMEOUT for _ in range(NOTICE_COUNT)]
     suspects = sum(node.describe().suspects for node in fleet.nodes.values())
     return [size, "c killed", show(during), "-", show(max(later)), suspects]
 
 
 def show(seconds):
-    """Return seconds as text; a miss is said so."""
-    return f"not in {PATIENCE:.0f}" if seconds is None else f"{seconds:.2f}"
+    """Return seconds as text, or a note that TIMEOUT was exceeded."""
+    return f"not in {TIMEOUT:.0f}" if seconds is None else f"{seconds:.2f}"
 
 
 def show_rounds(seconds, fleet):
-    """Return how many push intervals a time makes."""
+    """Return the number of push intervals in a time, rounded up."""
     return "-" if seconds is None else ceil(seconds / fleet.cfg.interval)
 
 
@@ -202,13 +204,13 @@
     """Return a row of the spread table and the fleet it was measured on."""
     fleet = make_fleet(size, loss)
     spreads = []
-    for _ in range(NOTICES):
+    for _ in range(NOTICE_COUNT):
         spreads.append(spread_notices(fleet, 1))
         fleet.run(2.0)
-    worst = max(spreads, key=lambda spread: spread.seconds or PATIENCE)
-    typical = statistics.median(spread.seconds or PATIENCE for spread in spreads)
-    wave = spread_notices(fleet, WAVE)
-    fleet.run(SETTLE)
+    worst = max(spreads, key=lambda spread: spread.seconds or TIMEOUT)
+    typical = statistics.median(spread.seconds or TIMEOUT for spread in spreads)
+    wave = spread_notices(fleet, NOTICE_BURST)
+    fleet.run(SETTLE_TIME)
     revision = spread_revision(fleet, 1)
     row = [
         size,
@@ -227,7 +229,7 @@
 
 def main():
     """Run all measurements and rewrite the section."""
-    spread_rows, idle_rows, cut_rows = [], [], []
+    spread_rows, idle_rows, fault_rows = [], [], []
     for size in SIZES:
         for loss in LOSSES:
             row, _ = measure_spread(size, loss)
@@ -248,14 +250,18 @@
             ]
         )
         print(*idle_rows[-1], flush=True)
-        lost = [measure_cut(size, "c"), measure_cut(size, "de"), measure_reclaim(size)]
+        lost = [
+            measure_partition(size, "c"),
+            measure_partition(size, "de"),
+            measure_reclaim(size),
+        ]
         for row in lost:
             print(*row, flush=True)
-        cut_rows += lost
-    write_section("gossip", render(spread_rows, idle_rows, cut_rows))
+        fault_rows += lost
+    write_section("gossip", render(spread_rows, idle_rows, fault_rows))
 
 
-def render(spread_rows, idle_rows, cut_rows):
+def render(spread_rows, idle_rows, fault_rows):
     """Return the section as Markdown."""
     value = make_value(1)
     spread = format_table(
@@ -266,7 +272,7 @@
             "worst s",
             "worst, rounds of 0.2 s",
             "bytes per instance and notice",
-            f"{WAVE} notices at once, s",
+            f"{NOTICE_BURST} notices at once, s",
             "KB per instance",
             "revision, s",
             "KB of value per instance",
@@ -290,12 +296,12 @@
         [
             "instances",
             "what",
-            f"notice {BEFORE_LOSS:.1f} s into it, to all that can be reached, s",
+            f"notice {NOTICE_DELAY:.1f} s into it, to all that can be reached, s",
             "news of both sides everywhere, s after healing",
-            f"worst of {NOTICES} later notices, s",
+            f"worst of {NOTICE_COUNT} later notices, s",
             "false suspicions",
         ],
-        cut_rows,
+        fault_rows,
     )
     return f"""## Gossip between entry instances
 
@@ -312,7 +318,7 @@
 
 {idle}
 
-Frames dropped without a word for {CUT:.0f} s between data centre c and the others, or
+Frames dropped without a word for {FAULT:.0f} s between data centre c and the others, or
 between the regions (d and e are the second), a notice on each side; and all instances
 of a data centre killed at once, where none is left to suspect them:
 
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,7 +1,7 @@
-"""Cost of the data path: microseconds of processor time a request and a token.
+"""Measure the data path: microseconds of processor time per request and per token.
 
-`python -m bench.path` sends the same load through a bare-socket pass-through and an
-entry instance, each a process, in one run, and prints both costs and their ratio.
+`python -m bench.path` sends the same load through a bare-socket relay and an entry
+instance, each in its own process, and prints both costs and their ratio.
 """
 
 import argparse
@@ -36,7 +36,7 @@
 
 
 class Load(NamedTuple):
-    """Streams at once, tokens of each, and seconds between two of its tokens."""
+    """Concurrent streams, tokens per stream, and seconds between two tokens."""
 
     streams: int
     tokens: int
@@ -44,7 +44,7 @@
 
 
 class Cost(NamedTuple):
-    """Processor time of one process under a load."""
+    """Processor seconds of a process under a load, tokens sent and wall seconds."""
 
     seconds: float
     tokens: int
@@ -52,12 +52,12 @@
 
     @property
     def per_token(self):
-        """Return microseconds a token."""
+        """Return microseconds of processor time per token."""
         return self.seconds / self.tokens * 1e6
 
 
 def run_load(port, load):
-    """Open all streams, read them to their end mark and return the tokens seen."""
+    """Open all streams, read them to the end and return the number of tokens."""
     fields = {"model": "bench", "prompt": "hello", "max_tokens": load.tokens}
     body = json.dumps(fields | {"stream": True, "attempt": "a"}).encode()
     head = f"POST /v1/completions HTTP/1.1\r\nHost: {HOST}\r\n"
@@ -83,20 +83,20 @@
 
 
 def read_processor_time(pid):
-    """Return the seconds of processor time that a process has used."""
+    """Return the processor seconds that a process has used, from /proc."""
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
 
 def read_resident(pid):
-    """Return the bytes of memory that a process holds."""
+    """Return the resident memory of a process in bytes, from /proc."""
     with open(f"/proc/{pid}/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def measure(pid, port, load):
-    """Return what a load costs a process."""
+    """Return the Cost of a load to a process."""
     before, began = read_processor_time(pid), time.monotonic()
     tokens = run_load(port, load)
     wall = time.monotonic() - began
@@ -104,14 +104,14 @@
 
 
 def measure_idle(pid, seconds=10.0):
-    """Return the part of a core that an idle process takes."""
+    """Return the fraction of a core that an idle process uses."""
     before = read_processor_time(pid)
     time.sleep(seconds)
     return (read_processor_time(pid) - before) / seconds
 
 
 def make_document(port):
-    """Return the configuration for one engine with room for every stream."""
+    """Return a serialised configuration of one engine with a slot for each stream."""
     address = Address(HOST, port)
     engine = Upstream("engine-0", MODEL, "engines", address, "a", slots=4096)
     inventory = Inventory((Pool("engines", MODEL, ("bench",)),), (engine,))
@@ -123,8 +123,8 @@
     return serialise(Configuration(1, "bench", inventory, rules))
 
 
-def start_role(serve, *args):
-    """Start one of the bench's own processes and return it with its port."""
+def start_server(serve, *args):
+    """Start a process of the benchmark; return it and its port."""
     ports = multiprocessing.Queue()
     process = multiprocessing.Process(target=serve, args=(ports, *args), daemon=True)
     process.start()
@@ -132,7 +132,7 @@
 
 
 def start_entry(processes, engine_port):
-    """Start a store and an entry instance that knows the engine."""
+    """Start a store and an entry instance configured with the engine."""
     store = processes.start_fake("store")
     body = {"value": make_document(engine_port), "expect": 0}
     call_json(store.port, "PUT", f"/kv/{CONFIG_KEY}", body)
@@ -145,7 +145,10 @@
 
 
 class Figures(NamedTuple):
-    """Costs of the pass-through and the entry under long and short answers."""
+    """Costs of the relay and the entry instance for long and short answers.
+
+    ``idle`` is the entry instance's fraction of a core, ``resident`` its bytes.
+    """
 
     longs: tuple[Cost, Cost]
     shorts: tuple[Cost, Cost]
@@ -154,16 +157,16 @@
 
 
 def measure_all(load):
-    """Measure both processes under the same load."""
+    """Return the Figures of both processes under the same load."""
     processes = Processes()
-    engine, engine_port = start_role(serve_engine, load.gap)
-    relay, relay_port = start_role(serve_relay, engine_port)
+    engine, engine_port = start_server(serve_engine, load.gap)
+    relay, relay_port = start_server(serve_relay, engine_port)
     short = Load(load.streams, 1, load.gap)
     try:
         entry = start_entry(processes, engine_port)
-        ends = ((relay.pid, relay_port), (entry.popen.pid, entry.port))
-        longs = tuple(measure(*end, load) for end in ends)
-        shorts = tuple(measure(*end, short) for end in ends)
+        targets = ((relay.pid, relay_port), (entry.popen.pid, entry.port))
+        longs = tuple(measure(*target, load) for target in targets)
+        shorts = tuple(measure(*target, short) for target in targets)
         idle = measure_idle(entry.popen.pid)
         resident = read_resident(entry.popen.pid)
     finally:
@@ -174,13 +177,13 @@
 
 
 def run(load):
-    """Return the rows of the page."""
+    """Run the measurement and return the lines of its table."""
     longs, shorts, idle, _ = measure_all(load)
     return make_rows(load, longs, shorts, idle)
 
 
 def make_rows(load, longs, shorts, idle):
-    """Return the table of the measurement."""
+    """Return the lines of the table for the measured costs."""
     bare, ours = longs
     requests = [cost.seconds / load.streams * 1e6 for cost in shorts]
     return [
--- a/bench/revisions.py
+++ b/bench/revisions.py
@@ -1,14 +1,14 @@
-"""Measure how a revision gets from the store into force, in simulated time.
+"""Measure how a configuration revision spreads from the store, in simulated time.
 
 ``python -m bench.revisions`` rewrites its section of docs/MEASUREMENTS.md. Each
-instance is a Revisions core beside a Membership that carries the values.
+instance has a Revisions core and a Membership that sends the values between instances.
 """
 
 import random
 import time
 from typing import NamedTuple
 
-from bench.gossip import SEED, SETTLE, make_value, show
+from bench.gossip import SEED, SETTLE_TIME, make_value, show
 from bench.pages import format_table, write_section
 from chervilwing.membership import Heard
 from chervilwing.messages import Found, Missing, Read, Unanswered
@@ -16,15 +16,19 @@
 from tests.fleet import Fleet
 
 TICK = 0.1
-QUIET = 30.0
-PATIENCE = 60.0
+IDLE_TIME = 30.0
+TIMEOUT = 60.0
 RESTARTS = 5
 NONE, HALF, ALL = "none", "half", "all"
 CASES = ((7, "abc"), (80, "abcde"), (320, "abcde"))
 
 
 class Spending(NamedTuple):
-    """What the cores of revisions spend, and what a change costs an instance."""
+    """Cost of the Revisions cores when idle, and of a change.
+
+    ``microseconds`` are per instance and second, ``reads`` per second in the fleet;
+    ``seconds`` is the time to spread a change, ``value_bytes`` its bytes per instance.
+    """
 
     microseconds: float
     watches: int
@@ -34,18 +38,18 @@
 
 
 def read_stamp(value):
-    """Return the stamp of a value of bench.gossip, which starts with its number."""
+    """Return the stamp of a value of bench.gossip, whose first item is its number."""
     number, _, _ = value[1:].partition(",")
     return Stamp(int(number), f"op-{number}")
 
 
 class Bench(Fleet):
-    """Hold a fleet whose memberships each serve a Revisions core, and the store."""
+    """A fleet with a Revisions core per instance, and a simulated store."""
 
     def __init__(self, size, centres):
         super().__init__(size, SEED, centres=centres)
         self.introduce()
-        self.run(SETTLE)
+        self.run(SETTLE_TIME)
         self.value = make_value(1).decode()
         self.store_down = False
         self.frozen = set()
@@ -54,10 +58,10 @@
         self.waiting = {}
         self.cores = {}
         for address in self.nodes:
-            self.begin(address)
+            self.start_core(address)
 
-    def begin(self, address):
-        """Start the core of an instance."""
+    def start_core(self, address):
+        """Start the Revisions core of an instance."""
         name = self.nodes[address].members()[0].name
         members = {record.name: record.data_centre for record in self.list_records()}
         rng = random.Random(self.rng.random())
@@ -67,7 +71,7 @@
         self.apply(address, core.start(self.now))
 
     def list_records(self):
-        """Return each instance's record of itself."""
+        """Return the membership record of each instance, in order of the nodes."""
         by_address = {
             record.address: record
             for node in self.nodes.values()
@@ -76,7 +80,7 @@
         return [by_address[address] for address in self.nodes]
 
     def take(self, address, outcome):
-        """Send what a membership wants sent, and hand its values to the core."""
+        """Carry out a membership's actions and pass received values to the core."""
         super().take(address, outcome)
         for entry in outcome:
             if isinstance(entry, Heard) and entry.value:
@@ -84,7 +88,7 @@
                 self.apply(address, core.hear(entry.value.decode(), self.now))
 
     def apply(self, address, actions):
-        """Carry out what a core asks for."""
+        """Carry out the actions of a core."""
         for action in actions:
             if isinstance(action, Adopted):
                 value = action.value.encode()
@@ -94,29 +98,29 @@
                 self.call_store(address, action)
 
     def call_store(self, address, action):
-        """Answer a read at once, and a watch when there is something new."""
+        """Reply to a read at once; queue a watch until the value changes."""
         self.calls += 1
         if self.store_down:
             self.reply(address, action.token, Unanswered())
         elif isinstance(action.request, Read):
-            self.reply(address, action.token, self.found())
+            self.reply(address, action.token, self.make_found())
         else:
             self.waiting[action.token] = address, action.request, self.now
 
     def reply(self, address, token, reply):
-        """Hand a core the store's reply."""
+        """Pass a reply of the store to a core."""
         self.apply(address, self.cores[address].receive(token, reply, self.now))
 
-    def found(self):
-        """Return what the store holds."""
+    def make_found(self):
+        """Return the store's reply with its current value."""
         return Found(self.value, read_stamp(self.value).revision)
 
     def publish(self, number):
-        """Store a new value, as an operator does."""
+        """Write a new value to the store, as an operator does."""
         self.value = make_value(number).decode()
 
     def freeze(self, which):
-        """Stop none, half or all of the watchers; the list still shows them."""
+        """Freeze none, half or all of the watchers; they stay listed as members."""
         watchers = [at for at, core in self.cores.items() if core.elected]
         step = {NONE: len(watchers) + 1, HALF: 2, ALL: 1}[which]
         self.frozen = set(watchers[step - 1 :: step])
@@ -125,7 +129,7 @@
             node.tick = node.receive = lambda *args: ()
 
     def pass_time(self, seconds, until=None):
-        """Run cores and memberships; return the seconds until ``until()`` held."""
+        """Run cores and memberships; return the seconds until ``until()``, or None."""
         start = self.now
         while self.now < start + seconds:
             self.run(TICK)
@@ -135,7 +139,7 @@
         return None
 
     def tick(self):
-        """Give each core that isn't frozen its tick, and the watches their answers."""
+        """Tick the cores that are not frozen; reply to changed or expired watches."""
         begun = time.process_time()
         due = [
             (address, core.tick(self.now))
@@ -146,7 +150,7 @@
         for address, actions in due:
             self.apply(address, actions)
         for token, (address, watch, since) in list(self.waiting.items()):
-            found = self.found()
+            found = self.make_found()
             newer = found.version > watch.after
             if address in self.frozen or not newer and self.now - since < watch.wait:
                 continue
@@ -154,7 +158,7 @@
             self.reply(address, token, found if newer else Missing())
 
     def all_hold(self, number):
-        """Tell whether the revision is in force on all that aren't frozen."""
+        """Return whether all instances that are not frozen have the revision."""
         return all(
             core.stamp.revision == number
             for address, core in self.cores.items()
@@ -163,44 +167,44 @@
 
 
 def measure_change(bench, number):
-    """Return the seconds until a new revision is in force, and KB of value for each."""
+    """Return the seconds until a new revision is in force, and bytes per instance."""
     before = bench.value_bytes
     bench.publish(number)
-    seconds = bench.pass_time(PATIENCE, lambda: bench.all_hold(number))
+    seconds = bench.pass_time(TIMEOUT, lambda: bench.all_hold(number))
     bench.pass_time(2.0)
     return seconds, (bench.value_bytes - before) / len(bench.nodes)
 
 
 def measure(size, centres="abcde", frozen=NONE):
-    """Return what an instance spends when quiet, and what one change costs it."""
+    """Return the Spending of a fleet when idle and on one change."""
     bench = Bench(size, centres)
-    bench.pass_time(SETTLE)
+    bench.pass_time(SETTLE_TIME)
     bench.freeze(frozen)
     calls, spent = bench.calls, bench.spent
-    bench.pass_time(QUIET)
-    reads = (bench.calls - calls) / QUIET
-    micros = (bench.spent - spent) * 1e6 / QUIET / size
+    bench.pass_time(IDLE_TIME)
+    reads = (bench.calls - calls) / IDLE_TIME
+    micros = (bench.spent - spent) * 1e6 / IDLE_TIME / size
     watches = sum(address not in bench.frozen for address, *_ in bench.waiting.values())
     return Spending(micros, watches, reads, *measure_change(bench, 2))
 
 
 def measure_restarts(size, centres):
-    """Return the worst seconds until a diskless newcomer in an outage has the newest.
+    """Return the worst seconds until a replaced instance is current, and is ready.
 
-    The second figure is when the last of them was ready.
+    The store is down, and the instances start without stored data.
     """
     bench = Bench(size, centres)
-    bench.pass_time(SETTLE)
+    bench.pass_time(SETTLE_TIME)
     bench.store_down = True
     held, ready = [], []
     for number, (address, node) in list(enumerate(bench.nodes.items()))[-RESTARTS:]:
         bench.start(f"entry-{number}", node.centre, number, incarnation=2)
-        bench.begin(address)
+        bench.start_core(address)
         core = bench.cores[address]
         start = bench.now
-        bench.pass_time(PATIENCE, lambda core=core: core.stamp.revision)
+        bench.pass_time(TIMEOUT, lambda core=core: core.stamp.revision)
         held.append(bench.now - start)
-        bench.pass_time(PATIENCE, lambda core=core: not core.explain_not_ready())
+        bench.pass_time(TIMEOUT, lambda core=core: not core.explain_not_ready())
         ready.append(bench.now - start)
     return max(held), max(ready)
 
