--- a/tests/test_weakened.py
+++ b/tests/test_weakened.py
@@ -1,4 +1,4 @@
-"""Each scenario must go red once the mechanism that it is for is taken out."""
+"""Each scenario must fail once the mechanism that it tests is removed."""
 
 import unittest
 
--- a/tests/test_weakened_gateway.py
+++ b/tests/test_weakened_gateway.py
@@ -1,4 +1,4 @@
-"""Each of the gateway's tests must go red without the guard that it is for."""
+"""Each of these gateway tests must fail once the mechanism it tests is removed."""
 
 import unittest
 
--- a/tests/weakened.py
+++ b/tests/weakened.py
@@ -1,6 +1,6 @@
-"""Take one mechanism out of a scratch copy of the core: its scenario must go red.
+"""Remove one mechanism from a scratch copy of the core: its scenario must fail.
 
-``python -m tests.weakened`` prints what each scenario shows without its mechanism.
+``python -m tests.weakened`` prints the failures of each scenario without its mechanism.
 """
 
 import json
@@ -29,7 +29,7 @@
 
 
 class Edit(NamedTuple):
-    """One replacement in a module of the core."""
+    """A text replacement in a module of the core."""
 
     module: str
     old: str
@@ -37,7 +37,7 @@
 
 
 class Weakness(NamedTuple):
-    """A mechanism taken out; the scenarios, seeds or unit tests that must see it."""
+    """Edits that remove a mechanism; the scenarios, seeds or tests that must fail."""
 
     name: str
     edits: tuple[Edit, ...]
@@ -328,7 +328,8 @@
     Edit("retries", "FAILED: RetryRule(not_run=False, retryable=True", NO_MORE_TRIES),
 )
 
-# On real processes, tests/scenarios/live: minutes, so not part of the test suite.
+# These run tests/scenarios/live on real processes. They take minutes, so they are not
+# part of the test suite.
 LIVE_WEAKNESSES = (
     Weakness(
         "a silent path taken for a dead upstream",
@@ -380,7 +381,7 @@
 
 
 def weaken(root, edits):
-    """Apply the edits to a copy of the tree."""
+    """Apply a weakness's edits to a copy of the tree."""
     for module, old, new in edits:
         path = root / "src" / "chervilwing" / f"{module}.py"
         text = path.read_text()
@@ -390,7 +391,7 @@
 
 
 def play(weakness, live=False):
-    """Return what each of its scenarios shows without the mechanism."""
+    """Return the failures of each of a weakness's scenarios, by scenario."""
     with tempfile.TemporaryDirectory() as name:
         root = Path(name)
         for part in ("src", "tests"):
@@ -400,7 +401,7 @@
 
 
 def play_one(root, scenario, live=False):
-    """Run one scenario on a tree, in a process of its own."""
+    """Run a scenario on a tree in its own process; return its failures."""
     if live:
         name = "".join(part.title() for part in scenario.split("-"))
         return play_test(root, f"{LIVE}{name}.test_scenario")
@@ -408,13 +409,13 @@
         return play_test(root, scenario)
     env = {**os.environ, "PYTHONPATH": f"{root / 'src'}{os.pathsep}{root}"}
     args = [sys.executable, "-c", CHILD, scenario]
-    # A copy that crashes shows nothing: only a broken expectation counts as red.
+    # A crash of the copy proves nothing: only a failed expectation counts.
     done = subprocess.run(args, cwd=root, env=env, stdout=subprocess.PIPE, check=True)
     return json.loads(done.stdout)
 
 
 def play_test(root, test):
-    """Run one unit test on a tree; only failed assertions count as red."""
+    """Run a unit test on a tree; return its failed assertions, raise on an error."""
     env = {**os.environ, "PYTHONPATH": f"{root / 'src'}{os.pathsep}{root}"}
     args = [sys.executable, "-m", "unittest", test]
     done = subprocess.run(args, cwd=root, env=env, stderr=subprocess.PIPE, text=True)
@@ -426,13 +427,13 @@
 
 
 def show(weakness, live):
-    """Print what each scenario of a weakness shows."""
+    """Print the failures of each scenario of a weakness."""
     for scenario, found in play(weakness, live).items():
         print(f"{weakness.name} | {scenario} | {'; '.join(found) or 'GREEN'}")
 
 
 def main():
-    """Print the red figures; with the argument ``live`` only those on processes."""
+    """Print the failures of all weaknesses; with ``live`` only those on processes."""
     if "live" not in sys.argv:
         for weakness in WEAKNESSES:
             show(weakness, live=False)
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -1,6 +1,6 @@
-"""The gateway's guards, each taken out in a scratch copy: its test must go red.
+"""Remove one mechanism of the gateway from a scratch copy: its test must fail.
 
-``python -m tests.weakened_gateway`` prints what each test shows without its guard.
+``python -m tests.weakened_gateway`` prints the failures of each test.
 """
 
 from tests.weakened import Edit, Weakness, show
@@ -621,7 +621,7 @@
 
 
 def main():
-    """Print the red figures."""
+    """Print the failures of all weaknesses of the gateway."""
     for weakness in GATEWAY_WEAKNESSES:
         show(weakness, live=False)
 
