--- a/bench/draws.py
+++ b/bench/draws.py
@@ -54,7 +54,7 @@
     factor: float
 
 
-class Wave(NamedTuple):
+class Reclaim(NamedTuple):
     """A reclaim of all reclaimable instances of a data centre.
 
     No reclaimable instance is available anywhere for ``dry`` seconds from ``at``.
@@ -78,7 +78,7 @@
     engine: EngineFigures
     kinds: tuple[Kind, ...]
     bursts: tuple[Burst, ...]
-    waves: tuple[Wave, ...]
+    waves: tuple[Reclaim, ...]
     crashes: tuple[float, ...]
 
 
@@ -122,7 +122,7 @@
         engine,
         kinds,
         draw_bursts(trouble, seconds, len(kinds), rng),
-        draw_waves(trouble, rng),
+        draw_reclaims(trouble, rng),
         tuple(rng.uniform(5.0, seconds, draw_integer(rng, trouble["crashes"]))),
     )
 
@@ -191,13 +191,13 @@
     return tuple(found)
 
 
-def draw_waves(ranges, rng):
+def draw_reclaims(ranges, rng):
     """Return the reclaims of a deployment in order of time."""
     at, found = draw_float(rng, ranges["first_wave"]), []
     for _ in range(draw_integer(rng, ranges["waves"])):
         centre = CENTRES[int(rng.integers(len(CENTRES)))]
         notice, dry = draw_float(rng, ranges["notice"]), draw_float(rng, ranges["dry"])
-        found.append(Wave(at, centre, notice, dry))
+        found.append(Reclaim(at, centre, notice, dry))
         at += draw_float(rng, ranges["wave_gap"])
     return tuple(found)
 
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -93,7 +93,7 @@
         self.first = None
 
 
-class Play:
+class Simulation:
     """Simulation of a deployment, from its first instance to its last request."""
 
     def __init__(self, deployment, arrivals, seed):
@@ -328,13 +328,13 @@
         yield sums
 
 
-def play_seed(seed, changes, ranges):
+def simulate_seed(seed, changes, ranges):
     """Return the Outcome of one seed, with the changed constants in force."""
     for change in changes:
         set_constant(change)
     rng = np.random.default_rng(seed)
     deployment = draw(ranges, rng)
-    return Play(deployment, draw_arrivals(deployment, rng), seed).run()
+    return Simulation(deployment, draw_arrivals(deployment, rng), seed).run()
 
 
 def set_constant(change):
@@ -362,7 +362,7 @@
     chosen = range(first, first + seeds)
     with ProcessPoolExecutor(jobs) as pool:
         found = pool.map(
-            play_seed, chosen, [change or []] * seeds, [drawn] * seeds, chunksize=2
+            simulate_seed, chosen, [change or []] * seeds, [drawn] * seeds, chunksize=2
         )
         outcomes = {str(s): o._asdict() for s, o in zip(chosen, found, strict=True)}
     out.write_text(json.dumps(outcomes, indent=1))
--- a/bench/market.py
+++ b/bench/market.py
@@ -64,7 +64,7 @@
         return True
 
     def reclaim(self, wave):
-        """Reclaim a data centre's reclaimable instances after the wave's notice."""
+        """Reclaim a data centre's reclaimable instances after its notice."""
         self.count_paid()
         self._dry_until = self._clock.now + wave.dry
         for name, member in list(self.members.items()):
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -8,9 +8,9 @@
 
 import numpy as np
 
-from bench.draws import Wave, draw, draw_arrivals, read_ranges
+from bench.draws import Reclaim, draw, draw_arrivals, read_ranges
 from bench.engines import Clock
-from bench.experiment import Play, play_seed
+from bench.experiment import Simulation, simulate_seed
 from bench.market import Market
 from bench.stepping import Run, SteppingEngine
 from chervilwing.demands import PromptPart
@@ -18,7 +18,7 @@
 
 RANGES = read_ranges()
 SHORT = RANGES | {"seconds": 10.0, "work": [0.8, 0.8]}
-PLAY_EXPRESSION = "play_seed(3, [], SHORT)"
+SIMULATION_EXPRESSION = "simulate_seed(3, [], SHORT)"
 ROOT = Path(__file__).resolve().parent.parent
 HISTORY = (PromptPart("history", 20_000), PromptPart("own", 100))
 
@@ -33,12 +33,12 @@
     def test_outcome_of_a_seed_is_reproducible(self):
         # Two policies are compared on the same seeds; random variation between runs
         # would hide their difference.
-        self.assertEqual(play_seed(3, [], SHORT), play_seed(3, [], SHORT))
+        self.assertEqual(simulate_seed(3, [], SHORT), simulate_seed(3, [], SHORT))
 
     def test_outcome_of_a_seed_is_independent_of_the_hash_seed(self):
         # Two policies run in two processes with different hash seeds. Drawing in the
         # order of a set would make their results differ, by 0.02 of worth.
-        program = f"from tests.test_experiment import *; print({PLAY_EXPRESSION})"
+        program = f"from tests.test_experiment import *; print({SIMULATION_EXPRESSION})"
         outcomes = set()
         for number in ("0", "1", "2"):
             argv = [sys.executable, "-c", program]
@@ -49,7 +49,7 @@
     def test_load_without_faults_is_served(self):
         deployment = make_deployment()
         arrivals = draw_arrivals(deployment, np.random.default_rng(1))
-        found = Play(deployment, arrivals, 1).run()
+        found = Simulation(deployment, arrivals, 1).run()
         self.assertGreater(found.day, 0.9)
 
 
@@ -64,7 +64,7 @@
         self.market.start({InstanceKind("a", True): 2, InstanceKind("b", True): 1})
 
     def test_reclaim_affects_one_data_centre_and_blocks_reclaimable_orders(self):
-        self.market.reclaim(Wave(0.0, "a", notice=2.0, dry=10.0))
+        self.market.reclaim(Reclaim(0.0, "a", notice=2.0, dry=10.0))
         self.assertFalse(self.market.order(InstanceKind("c", True), 1))
         self.assertTrue(self.market.order(InstanceKind("c", False), 1))
         self.clock.run(11.0)
