--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -18,13 +18,17 @@
 from .engines import BATCH_SLOWDOWN, MODEL_STEP
 
 DATA_CENTRES = ("a", "b", "c")
+# The data centre of each entry instance.
 ENTRY_CENTRES = ("a", "a", "a", "b", "b", "c", "c")
+# One-way network delays in seconds.
 CROSS_CENTRE_DELAY = 0.0015
 SAME_CENTRE_DELAY = 0.0001
 MODEL_SLOTS = 8
 SERVICE_SLOTS = 4
+# Each customer's share of all requests.
 DEMAND_SHARES = (0.40, 0.25, 0.15, 0.12, 0.08)
 PREFIX_COUNT = 12
+# Dollars per instance hour.
 MODEL_PRICE = 1.10
 SERVICE_PRICE = 0.12
 
--- a/bench/engines.py
+++ b/bench/engines.py
@@ -4,13 +4,16 @@
 from heapq import heappop, heappush
 from itertools import count
 
+# Tokens per second.
 PREFILL_RATE = 8000.0
+# Seconds per decode step of a single sequence.
 MODEL_STEP = 0.025
 # Relative slowdown of a decode step per further sequence in the batch.
 BATCH_SLOWDOWN = 0.12
 # Fraction of the decode speed that remains while another sequence is in prefill.
 MIXED_SPEED = 0.6
 CACHE_TOKENS = 40_000
+# Queue limit, in requests per slot.
 WAITING_PER_SLOT = 2
 EPSILON = 1e-9
 
--- a/bench/planner.py
+++ b/bench/planner.py
@@ -17,7 +17,9 @@
 STEP_SECONDS = 60.0
 HOURS = 24
 SEEDS = (1, 2, 3)
+# Seconds until a started instance is ready.
 START_DELAY = 180.0
+# Seconds for which a reclaimed zone refuses starts of reclaimable instances.
 REFUSAL_TIME = 900.0
 ZONE_RECLAIMS_PER_HOUR = 0.08
 MACHINES = {"standard": Machine(8), "large": Machine(16)}
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -18,13 +18,17 @@
 from .engines import Clock, Engine
 
 SEED = 20261202
+# Seconds between load reports of an upstream, and their delay.
 REPORT_INTERVAL = 1.0
 REPORT_DELAY = 0.3
+# Seconds from the notice of a reclaim to the end of the instance.
 NOTICE_TIME = 10.0
 # Seconds until an instance learns of a reclaim that another instance was notified of.
 NOTICE_DELAY = 2.0
+# Seconds between attempts to move requests off a reclaimed upstream.
 SHIFT_INTERVAL = 0.25
 SLOW_AT = 20.0
+# Seconds after the last arrival for which the simulation goes on.
 DRAIN_TIME = 120.0
 # Seconds until a caller retries when the refusal names no delay.
 DEFAULT_RETRY = 1.0
