--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -1,4 +1,4 @@
-"""The brief's two deployments and the work that their callers offer."""
+"""Two example deployments and the work that their callers offer."""
 
 from typing import NamedTuple
 
@@ -15,22 +15,30 @@
     WorkClass,
 )
 
-from .engines import BATCH_PART, MODEL_STEP
+from .engines import BATCH_SLOWDOWN, MODEL_STEP
 
 DATA_CENTRES = ("a", "b", "c")
-ENTRIES = ("a", "a", "a", "b", "b", "c", "c")
-BETWEEN_CENTRES = 0.0015
-WITHIN_CENTRE = 0.0001
+# The data centre of each entry instance.
+ENTRY_CENTRES = ("a", "a", "a", "b", "b", "c", "c")
+# One-way network delays in seconds.
+CROSS_CENTRE_DELAY = 0.0015
+SAME_CENTRE_DELAY = 0.0001
 MODEL_SLOTS = 8
 SERVICE_SLOTS = 4
-DEMAND = (0.40, 0.25, 0.15, 0.12, 0.08)
-PREFIXES = 12
+# Each customer's share of all requests.
+DEMAND_SHARES = (0.40, 0.25, 0.15, 0.12, 0.08)
+PREFIX_COUNT = 12
+# Dollars per instance hour.
 MODEL_PRICE = 1.10
 SERVICE_PRICE = 0.12
 
 
 class Kind(NamedTuple):
-    """A class of work: its rules, its pool, its part of the pool, its sizes."""
+    """A class of work; ``part`` is its share of its pool's requests.
+
+    ``deadline`` and ``first_token`` are in seconds, ``prefix`` and ``suffix`` in
+    tokens; ``output`` is in tokens for a model pool and in seconds for a service.
+    """
 
     name: str
     pool: str
@@ -45,7 +53,7 @@
 
 
 class Deployment(NamedTuple):
-    """One organisation's sizes and kinds of work."""
+    """The pools and kinds of work of one deployment; ``client_delay`` is in seconds."""
 
     name: str
     client_delay: float
@@ -83,11 +91,11 @@
 
 def list_customers():
     """Return the names of the five organisations, the largest first."""
-    return [f"org-{index}" for index in range(len(DEMAND))]
+    return [f"org-{index}" for index in range(len(DEMAND_SHARES))]
 
 
 def build_configuration(deployment):
-    """Return the configuration that the scheduler is given."""
+    """Return the scheduler's configuration for a deployment."""
     upstreams = list_upstreams(deployment)
     pools = (
         Pool(deployment.model_pool, MODEL),
@@ -123,15 +131,15 @@
 
 
 def measure_work(kind):
-    """Return the slot-seconds that one request takes in a full batch."""
+    """Return the slot-seconds that a request of a kind needs in a full batch."""
     if not kind.prefix:
         return kind.output
-    step = MODEL_STEP * (1 + BATCH_PART * (MODEL_SLOTS - 1))
+    step = MODEL_STEP * (1 + BATCH_SLOWDOWN * (MODEL_SLOTS - 1))
     return kind.output * step + (kind.suffix + 0.2 * kind.prefix) / 4000
 
 
 def measure_rate(deployment, pool):
-    """Return the requests a second that keep all slots of a pool busy."""
+    """Return the requests per second that keep all slots of a pool busy."""
     slots = sum(up.slots for up in list_upstreams(deployment) if up.pool == pool)
     kinds = [kind for kind in deployment.kinds if kind.pool == pool]
     parts = sum(kind.part for kind in kinds)
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -1,20 +1,23 @@
-"""The loads: how many requests, of which customer, and what goes wrong when."""
+"""Loads: request rate, shares of the customers, and failures injected."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
-from .deployments import DEMAND
+from .deployments import DEMAND_SHARES
 
-BURST_EVERY = 30.0
+BURST_INTERVAL = 30.0
 BURST_LENGTH = 5.0
 
 
 class Load(NamedTuple):
-    """One load; ``level`` gives offered over full capacity at a time."""
+    """A load; ``level(now)`` is the offered work relative to full capacity.
+
+    ``duration`` is in seconds; ``returns`` limits the retries of a refused request.
+    """
 
     name: str
     level: Callable[[float], float]
-    demand: tuple[float, ...] = DEMAND
+    demand: tuple[float, ...] = DEMAND_SHARES
     long_part: float = 0.0
     slow: float = 1.0
     reclaimed: str = ""
@@ -23,30 +26,30 @@
     returns: int = 0
 
 
-def hold(level):
-    """Return a load that stays at one level."""
+def constant(level):
+    """Return a level function that is constant."""
     return lambda now: level
 
 
 def burst(now):
-    """Return three times the base for five seconds in every thirty."""
-    return 1.8 if now % BURST_EVERY > BURST_EVERY - BURST_LENGTH else 0.6
+    """Return three times the base level for five seconds in every thirty."""
+    return 1.8 if now % BURST_INTERVAL > BURST_INTERVAL - BURST_LENGTH else 0.6
 
 
 LOADS = (
-    Load("steady", hold(0.7), seeds=2),
+    Load("steady", constant(0.7), seeds=2),
     Load("burst", burst, seeds=2),
-    Load("skewed", hold(1.3), demand=(0.72, 0.1, 0.08, 0.06, 0.04)),
-    Load("slow upstream", hold(0.65), slow=4.0, seeds=2),
-    Load("long/short", hold(0.8), long_part=0.15, seeds=2),
-    Load("full 1x", hold(1.0), seeds=2),
-    Load("saturation 2x", hold(2.0)),
-    Load("saturation 5x", hold(5.0), seeds=2),
-    Load("reclaimed", hold(0.7), reclaimed="a", seeds=2),
+    Load("skewed", constant(1.3), demand=(0.72, 0.1, 0.08, 0.06, 0.04)),
+    Load("slow upstream", constant(0.65), slow=4.0, seeds=2),
+    Load("long/short", constant(0.8), long_part=0.15, seeds=2),
+    Load("full 1x", constant(1.0), seeds=2),
+    Load("saturation 2x", constant(2.0)),
+    Load("saturation 5x", constant(5.0), seeds=2),
+    Load("reclaimed", constant(0.7), reclaimed="a", seeds=2),
 )
 
-# Refused callers come back when they are told to, this often at most.
-RETURNING = (
+# Callers retry a refused request after the delay it names, at most ``returns`` times.
+RETRY_LOADS = (
     Load("burst", burst, returns=4, duration=60.0),
-    Load("saturation 2x", hold(2.0), returns=4, duration=60.0),
+    Load("saturation 2x", constant(2.0), returns=4, duration=60.0),
 )
