--- a/src/chervilwing/caches.py
+++ b/src/chervilwing/caches.py
@@ -1,4 +1,4 @@
-"""Transfer KV caches from an engine that is leaving to the next one."""
+"""Transfer KV caches from a leaving engine to the next one."""
 
 import json
 import time
@@ -106,7 +106,8 @@
 
     Pass status and body to ``reply``; status 0 stands for a failure or an answer beyond
     a limit. Without the limits, an engine could fill the memory with a cache of
-    gigabytes or hold the call with single bytes, never silent, until it is reclaimed.
+    gigabytes, or keep the call open until it is reclaimed by sending single bytes, each
+    of which restarts the silence timeout.
     """
     body, statuses, began = bytearray(), [], time.monotonic()
 
--- a/src/chervilwing/calls.py
+++ b/src/chervilwing/calls.py
@@ -18,7 +18,10 @@
 
 
 def matches(call, method, path):
-    """Return whether a call like ``POST /notes`` covers a request by its path."""
+    """Return whether a listed call such as ``POST /notes`` covers a request.
+
+    It does if it has the request's method and the request's path or a parent of it.
+    """
     wanted_method, _, wanted_path = call.partition(" ")
     if method.upper() != wanted_method:
         return False
--- a/src/chervilwing/dispatch.py
+++ b/src/chervilwing/dispatch.py
@@ -112,7 +112,8 @@
 
     def _record_refusal(self, exchange, exc):
         """Count and log a request that was refused before its target was known."""
-        # Health checks of a balancer belong to no customer.
+        # Requests to the instance's own paths, such as a balancer's health checks, are
+        # not counted as refusals of callers.
         if exchange.req.path.startswith(ADMIN_PATH):
             return
         self.stats.select(NOBODY, NOBODY).record_outcome(exc.outcome, exc.type)
--- a/src/chervilwing/handoffs.py
+++ b/src/chervilwing/handoffs.py
@@ -27,11 +27,12 @@
 # Seconds to wait for a receipt. A frozen peer must not use up the notice: with half a
 # second, three peers are tried before the deadline.
 RECEIPT_TIMEOUT = 0.5
-# Peers that a state is offered to, and peers that are asked for a caller's state. After
-# a data centre is lost, thousands of callers reconnect; the limit keeps the messages
-# for each from growing with the fleet. Eight reach every instance of the
-# deployment sizes in use.
+# Maximum number of peers to which a state is offered.
 MAX_OFFERS = 3
+# Maximum number of peers that are asked for the state of a reconnecting caller. After a
+# data centre is lost, thousands of callers reconnect; without the limit, the messages
+# per caller would grow with the number of instances. In a deployment of up to nine
+# entry instances, eight peers are all the others.
 MAX_SEARCH_PEERS = 8
 # Seconds that a reconnect waits for a reply or a part of its state.
 SEARCH_TIMEOUT = 1.0
@@ -170,9 +171,10 @@
 def choose_search_peers(key, live, leaving):
     """Return the peers to ask for a state, the most likely holder first.
 
-    The state was offered first to the key's highest ranked peer outside the sender's
-    data centre, which is unknown here. That peer is the highest ranked of all, or the
-    highest ranked outside the first one's data centre.
+    The sender offered the state first to the key's highest ranked peer outside its own
+    data centre. That data centre isn't known here, but only two peers are possible: the
+    highest ranked of all, and the highest ranked outside that one's data centre. They
+    are asked first.
     """
     ranked = rank(str(key), live)
     outside = [name for name in ranked if live[name] != live[ranked[0]]]
@@ -220,7 +222,7 @@
         return [Delivered(receipt.transfer, sender), *self._fill_slots(now)]
 
     def tick(self, now):
-        """Offer states without a receipt to the next peer; return actions."""
+        """Offer each state with an overdue receipt to its next peer; return actions."""
         actions = []
         for transfer, active in list(self._active.items()):
             if now > active.due:
--- a/src/chervilwing/reconnects.py
+++ b/src/chervilwing/reconnects.py
@@ -111,7 +111,8 @@
         if held is not None:
             self._attach(held, exchange, last_index)
             return True
-        # An instance that is stopping would have to hand the request over again.
+        # A stopping instance doesn't fetch the request from a peer: it would have to
+        # hand it over again. The caller retries at another instance.
         moved = key in self._handed_over
         if self._dispatch.draining and (moved or last_index is not None):
             raise HandedOver(retry_after=1.0)
@@ -144,7 +145,7 @@
         self._held.finish(held, time.monotonic() + self._cfg.reconnect_keep)
 
     def hand_over(self):
-        """Offer each request that its caller can reconnect to, once, to peers."""
+        """Offer to peers, once each, the requests to which callers can reconnect."""
         sessions = [s for s in self._dispatch.sessions.values() if s.can_hand_over]
         unread = [held.session for held in self._held.list() if not held.delivered]
         for session in dict.fromkeys(sessions + unread):
--- a/src/chervilwing/sessions.py
+++ b/src/chervilwing/sessions.py
@@ -80,7 +80,8 @@
         """Report the outcome of the current attempt to the scheduler."""
         now = time.monotonic()
         duration = now - self.placed_at
-        # A service's answer arrives whole, so its first token is its end.
+        # A service's answer has no tokens: count its whole duration as the time to the
+        # first token.
         first_token = duration if first_token is None else first_token
         self._dispatcher.scheduler.finish(
             self.serial, self.upstream.name, outcome, first_token, duration, tokens, now
