--- a/src/chervilwing/admin.py
+++ b/src/chervilwing/admin.py
@@ -92,6 +92,8 @@
         operators.check_stop(key_hash, exchange.req.headers, exchange.host)
         name = read_json(exchange.req.body or b"{}").get("name")
         if name not in (None, self._cfg.name):
-            raise NotReady(f"This instance is {self._cfg.name}.")
+            raise NotReady(
+                f"The request names another instance; this one is {self._cfg.name}."
+            )
         self._drain()
         exchange.answer_json(202, {"draining": True})
--- a/src/chervilwing/forwards.py
+++ b/src/chervilwing/forwards.py
@@ -44,7 +44,12 @@
         if session.claimant is not None and not session.claimant.may_start(session):
             self._upstream = upstream
             self._report(CANCELLED)
-            session.refuse(KeyExpired("The claim expired.", outcome=NOT_RUN))
+            session.refuse(
+                KeyExpired(
+                    "The Idempotency-Key's claim expired before the call was sent.",
+                    outcome=NOT_RUN,
+                )
+            )
             return
         session.tries += 1
         self._upstream = upstream
--- a/src/chervilwing/operators.py
+++ b/src/chervilwing/operators.py
@@ -28,4 +28,7 @@
     """
     check_key(key_hash, headers)
     if not key_hash and not ip_address(host).is_loopback:
-        raise NotAllowed("Without --operator-key-hash only this machine may stop it.")
+        raise NotAllowed(
+            "Without --operator-key-hash, only a request from the same machine may "
+            "stop the instance."
+        )
--- a/src/chervilwing/requests.py
+++ b/src/chervilwing/requests.py
@@ -7,8 +7,8 @@
 from .exceptions import BadRequest
 
 REQUEST_ID = re.compile(r"[A-Za-z0-9._-]{1,64}\Z")
-# Only engines count tokens. Before the first answer, 4 characters per token are precise
-# enough to compare the sizes of requests.
+# Only an engine can count the tokens of a prompt. To compare the sizes of requests
+# before they have run, 4 characters per token are precise enough.
 CHARACTERS_PER_TOKEN = 4
 PREFIX_CHARACTERS = 256
 
@@ -24,7 +24,9 @@
     if not given:
         return uuid.uuid4().hex
     if not REQUEST_ID.match(given):
-        raise BadRequest("X-Request-Id must be 1 to 64 of A-Z a-z 0-9 . _ -")
+        raise BadRequest(
+            "X-Request-Id must be 1 to 64 characters from A-Z a-z 0-9 . _ -"
+        )
     return given
 
 
