--- a/src/chervilwing/__init__.py
+++ b/src/chervilwing/__init__.py
@@ -9,9 +9,10 @@
 
 __version__ = "0.1.0"
 
-# Modules of the public names. They are imported at first use: modules that the gateway
-# never uses took a fifth of its start time, for which callers wait after a power loss.
-_HOMES = {
+# The module of each public name, imported at first use. Importing the modules that the
+# gateway never uses took a fifth of its start time, and after a power loss callers wait
+# until it has started.
+_MODULES = {
     "ChervilwingError": "exceptions",
     "Configuration": "models",
     "Inventory": "models",
@@ -29,11 +30,11 @@
     "read_settings": "settings",
 }
 
-__all__ = list(_HOMES)
+__all__ = list(_MODULES)
 
 
 def __getattr__(name):
     """Load a public name (PEP 562)."""
-    if name not in _HOMES:
+    if name not in _MODULES:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    return getattr(import_module(f".{_HOMES[name]}", __name__), name)
+    return getattr(import_module(f".{_MODULES[name]}", __name__), name)
--- a/src/chervilwing/buyer.py
+++ b/src/chervilwing/buyer.py
@@ -1,4 +1,4 @@
-"""Buy and release instances for the fleets whose duty this instance holds."""
+"""Buy and release instances for the fleets whose lease this instance holds."""
 
 import json
 import time
@@ -58,13 +58,13 @@
 
     channel = "buyer"
 
-    def __init__(self, cfg, store, client, dispatcher, leave):
+    def __init__(self, cfg, store, client, dispatcher, announce_leaving):
         super().__init__()
         self._cfg = cfg
         self._store = store
         self._client = client
         self._dispatch = dispatcher
-        self._leave = leave
+        self._announce_leaving = announce_leaving
         self._names = [cfg.name]
         self._fleets = {}
         self._offers = ()
@@ -128,7 +128,8 @@
                 self._buy(task, purchase)
                 return
             if purchase.state == LEAVING and self._is_available(purchase.instance):
-                # The holder that wrote this ended before it announced the release.
+                # The holder that marked this purchase as leaving stopped before it
+                # announced that.
                 self._release(task, purchase)
                 return
             if purchase.state == LEAVING and time.time() >= purchase.at:
@@ -179,9 +180,9 @@
         scheduler = self._dispatch.scheduler
         upstreams = [upstream for upstream, _ in scheduler.list_engines(pool)]
         available = set(filter(self._is_available, self._dispatch.directory.upstreams))
-        # A new holder has not seen instances that left earlier. Without the leaving
-        # ones it would wait ten minutes for each, as for an instance that was just
-        # bought.
+        # Count instances that are leaving as seen. A new holder never saw them
+        # available and would otherwise wait ten minutes for each, as for an instance
+        # that was just bought and isn't listed yet.
         task.seen |= available | set(self._dispatch.leaving)
         lost = find_lost(task.purchases, available, task.seen, time.time())
         if lost is not None:
@@ -193,8 +194,8 @@
         if plan.buys:
             self._start_purchase(task, plan.buys[0])
             return
-        # Instances that were bought but don't serve yet may still be refused, so none
-        # is released in their place.
+        # Some purchases don't serve yet, and the cloud may still refuse them. Release
+        # no instance until they serve.
         if len(situation.owned) > len(upstreams):
             return
         for purchase in task.purchases:
@@ -256,7 +257,7 @@
         """Mark an instance as leaving, so that its work ends before it is returned."""
         deadline = time.time() + self._cfg.request_timeout
         leaving = purchase._replace(state=LEAVING, at=deadline)
-        notify = lambda: self._leave(purchase.instance, deadline)
+        notify = lambda: self._announce_leaving(purchase.instance, deadline)
         self._replace_purchase(task, purchase, leaving, then=notify)
 
     def _return_instance(self, task, purchase):
--- a/src/chervilwing/completions.py
+++ b/src/chervilwing/completions.py
@@ -8,8 +8,8 @@
 
 DEFAULT_MAX_TOKENS = 256
 MAX_TOKENS_LIMIT = 32768
-# Digits of a token index that are read. No answer has that many tokens, and Python's
-# int refuses numbers of 5,000 digits.
+# Maximum number of digits that are read of a token index. Every valid index is shorter,
+# and Python's int() refuses numbers of more than 4,300 digits.
 INDEX_DIGITS = 9
 ROLES = ("system", "user", "assistant", "tool")
 STREAM_END = b"data: [DONE]\n\n"
@@ -110,15 +110,18 @@
 def read_last_event(headers, request_id):
     """Return the index of the last token that a reconnecting caller has read.
 
-    Return -1 if the header has no index, as the caller has read no token, and None
-    without the header, for a new request.
+    Return -1 if Last-Event-ID has no index: the caller has read no token. Return None
+    if there is no Last-Event-ID: the request is new.
     """
     given = headers.get("last-event-id")
     if given is None:
         return None
     name, _, index = given.partition("/")
     if name != request_id or not (index == "" or index.isascii() and index.isdigit()):
-        raise BadRequest("Last-Event-ID must be the X-Request-Id, a slash, an index.")
+        raise BadRequest(
+            "Last-Event-ID must be the X-Request-Id, optionally followed by a slash "
+            "and a token index."
+        )
     return int(index[:INDEX_DIGITS]) if index else -1
 
 
@@ -151,7 +154,7 @@
     }
 
 
-def make_chunk_writer(completion, request_id, created):
+def make_chunk_formatter(completion, request_id, created):
     """Return a function that formats a token and its index as one event.
 
     All but index and token is the same in each event of a stream and is encoded once:
@@ -173,10 +176,10 @@
     after = f'{closing}, "finish_reason": null}}]}}\n\n'
     quote = encode_basestring_ascii
 
-    def write(index, token):
+    def format_chunk(index, token):
         return f"id: {request_id}/{index}\n{before}{quote(token)}{after}"
 
-    return write
+    return format_chunk
 
 
 def format_end(completion, request_id, answer, created):
--- a/src/chervilwing/embedded.py
+++ b/src/chervilwing/embedded.py
@@ -198,7 +198,7 @@
     def __init__(self, exchange, body):
         self.exchange = exchange
         self.attempt = body["attempt"]
-        self.prompt = len(body["prompt"].split())
+        self.prompt_tokens = len(body["prompt"].split())
         self.limit = int(body["max_tokens"])
         self.offset = self.index = int(body.get("offset", 0))
 
@@ -268,7 +268,7 @@
     def _finish(self, generation):
         self._generations.remove(generation)
         usage = {
-            "prompt_tokens": generation.prompt,
+            "prompt_tokens": generation.prompt_tokens,
             "cached_tokens": 0,
             "completion_tokens": generation.index - generation.offset,
             "recomputed_tokens": 0,
--- a/src/chervilwing/generations.py
+++ b/src/chervilwing/generations.py
@@ -50,7 +50,7 @@
         if state is not None:
             self.answer.restore(state)
             self._created = state.created
-        self._write = completions.make_chunk_writer(
+        self._format_chunk = completions.make_chunk_formatter(
             completion, session.request_id, self._created
         )
 
@@ -270,7 +270,9 @@
         if not exchange.started:
             exchange.start(HTTP_OK, EVENTS_TYPE, self.session.headers)
             exchange.on_drain = self._resume_reading
-        events = [self._write(first + i, token) for i, token in enumerate(tokens)]
+        events = [
+            self._format_chunk(first + i, token) for i, token in enumerate(tokens)
+        ]
         exchange.write("".join(events).encode())
         # If the caller reads more slowly than the engine writes, the answer would pile
         # up in memory. Stop reading, so that the full socket slows the engine down.
