--- a/tests/live.py
+++ b/tests/live.py
@@ -30,7 +30,12 @@
 
 
 class SentRequest(NamedTuple):
-    """One request of a scenario and the answers to it."""
+    """One request of a scenario and the answers to it.
+
+    ``kind`` is ``stream`` or ``memo`` for a model call with or without streaming,
+    ``note`` for a non-idempotent service call and ``document`` for an idempotent one.
+    ``prompt`` of a service call is the request's name, and its ``count`` is 0.
+    """
 
     kind: str
     prompt: str
@@ -38,7 +43,7 @@
     answers: list
 
 
-class Play:
+class ScenarioRun:
     """State of one scenario that runs on real processes."""
 
     def __init__(self):
@@ -365,7 +370,7 @@
     "publish_large": publish_large,
     "stream": start_model_call("stream"),
     "memo": start_model_call("memo"),
-    "note": Play.send_note,
+    "note": ScenarioRun.send_note,
     "plain_note": send_plain_note,
     "document": fetch_document,
     "when": wait_for_tokens,
@@ -406,7 +411,7 @@
 def run(text):
     """Run a scenario on processes of its own; AssertionError names the step."""
     tree = PARSER.parse("\n" + text)
-    play = Play()
+    play = ScenarioRun()
     try:
         for step in tree.children:
             args = [str(arg) for arg in step.children if arg is not None]
--- a/tests/live_orders.py
+++ b/tests/live_orders.py
@@ -11,7 +11,7 @@
 
 
 def find_holder(play, *excluded):
-    """Return the entry instance that holds the duty to order the engines, or None."""
+    """Return the entry instance that holds the lease to send orders, or None."""
     for name, entry in play.entries.items():
         if name in excluded:
             continue
