--- a/src/chervilwing/connections.py
+++ b/src/chervilwing/connections.py
@@ -22,7 +22,7 @@
 from .models import Address
 from .parsers import HttpHead, ResponseReader
 from .sockets import StreamHandlers, Streams
-from .work import FAILED, PATH, SILENT
+from .work import FAILED, PATH_SILENT, SILENT
 
 # Idle connections kept for each address, as many as a pool worker has slots. Without
 # them a burst of short calls would cost one handshake each; without a limit the number
@@ -41,7 +41,7 @@
 IDLE_MARGIN = 0.5
 # Failure types and the outcomes reported to the scheduler; the first match counts.
 FAILURE_OUTCOMES = (
-    (PathSilent, PATH),
+    (PathSilent, PATH_SILENT),
     (UpstreamSilent, SILENT),
     (UpstreamFailed, FAILED),
 )
--- a/src/chervilwing/dispatch.py
+++ b/src/chervilwing/dispatch.py
@@ -139,11 +139,11 @@
     def retry(self, session, exc, outcome):
         """Queue a request again after a failed attempt, or refuse it."""
         now = time.monotonic()
-        name, rule = session.upstream.name, retries.RULES[outcome]
+        name, rule = session.upstream.name, retries.RETRY_RULES[outcome]
         work = session.work._replace(tokens=session.tokens)
         refusal = self.scheduler.retry(work, name, outcome, now)
         if refusal is None:
-            session.work = retries.count_attempt(rule, work, name)
+            session.work = retries.with_counted_attempt(rule, work, name)
             self.run_scheduler()
             return
         # An attempt that may have run is reported with its own error. One that did not
@@ -333,9 +333,11 @@
 
     def _queue_accepted(self, session):
         """Queue an accepted request ahead of all new work; return a refusal or None."""
-        keeper = session.cache_engine
-        work = session.work._replace(tokens=session.tokens, keeper=keeper)
-        session.work = retries.count_attempt(retries.RULES[LEAVING], work, "")
+        cache_engine = session.cache_engine
+        work = session.work._replace(tokens=session.tokens, cache_engine=cache_engine)
+        session.work = retries.with_counted_attempt(
+            retries.RETRY_RULES[LEAVING], work, ""
+        )
         return self.scheduler.retry(work, "", LEAVING, time.monotonic())
 
     def _forward(self, exchange):
--- a/src/chervilwing/placement.py
+++ b/src/chervilwing/placement.py
@@ -250,7 +250,7 @@
         """
         if self._can_use_cache(work, keep_reserve):
             cached = work.prompt_tokens + work.tokens
-            return work.keeper, estimate(work, cached), cached
+            return work.cache_engine, estimate(work, cached), cached
         owners = self._find_owners(work)
         serving_sets = self._find_serving_sets(work)
         if serving_sets is None:
@@ -278,8 +278,8 @@
         engines that are scarce at that moment. If the upstream with the cache has no
         room, waiting for it would cost more than computing again.
         """
-        return work.keeper in self.upstream_states and self._has_room_for(
-            work.keeper, work, keep_reserve
+        return work.cache_engine in self.upstream_states and self._has_room_for(
+            work.cache_engine, work, keep_reserve
         )
 
     def _find_owners(self, work):
--- a/src/chervilwing/retries.py
+++ b/src/chervilwing/retries.py
@@ -11,7 +11,7 @@
     Scope,
     UpstreamFailed,
 )
-from .work import BUSY, CANCELLED, EXHAUSTED, FAILED, LEAVING, PATH, SILENT
+from .work import BUSY, CANCELLED, EXHAUSTED, FAILED, LEAVING, PATH_SILENT, SILENT
 
 # Two retries survive the loss of one upstream and of one successor. A request that
 # fails a third time is more likely the cause itself.
@@ -39,15 +39,17 @@
 # tried (RFC 5390: retries at siblings of a full server turned one request into 18).
 # LEAVING uses no budget, because the number of running requests bounds the moves of
 # accepted work.
-# PATH: old connections to the upstream are silent, although it has just answered on a
-# new one. A retry uses no budget. It prefers another upstream, because an upstream may
-# answer probes while its work hangs, but uses the same one if there is no other.
-RULES = {
+# PATH_SILENT: old connections to the upstream are silent, although it has just answered
+# on a new one. A retry uses no budget. It prefers another upstream, because an upstream
+# may answer probes while its work hangs, but uses the same one if there is no other.
+RETRY_RULES = {
     BUSY: RetryRule(not_run=True, retryable=True, budgeted=True, excludes=False),
     EXHAUSTED: RetryRule(not_run=True, retryable=False, budgeted=True, excludes=False),
     FAILED: RetryRule(not_run=False, retryable=True, budgeted=True, excludes=True),
     SILENT: RetryRule(not_run=False, retryable=True, budgeted=True, excludes=True),
-    PATH: RetryRule(False, True, budgeted=False, excludes=True, reuse_if_only=True),
+    PATH_SILENT: RetryRule(
+        False, True, budgeted=False, excludes=True, reuse_if_only=True
+    ),
     LEAVING: RetryRule(
         not_run=False,
         retryable=True,
@@ -61,7 +63,7 @@
 }
 
 
-def count_attempt(rule, work, upstream):
+def with_counted_attempt(rule, work, upstream):
     """Return the work with the ended attempt counted."""
     excluded = work.excluded | {upstream} if rule.excludes else work.excluded
     return work._replace(
--- a/src/chervilwing/scheduling.py
+++ b/src/chervilwing/scheduling.py
@@ -250,13 +250,13 @@
 
         ``work`` includes the tokens already streamed. Call this after ``finish``.
         """
-        rule = retries.RULES[outcome]
+        rule = retries.RETRY_RULES[outcome]
         pool = self._pools.get(work.pool)
         if pool is None:
             return Refusal(
                 work.request_id, admission.make_no_upstream_error(work.pool, 5)
             )
-        work = retries.count_attempt(rule, work, upstream)
+        work = retries.with_counted_attempt(rule, work, upstream)
         if rule.reuse_if_only and not pool.state.has_other(work.excluded):
             work = work._replace(excluded=work.excluded - {upstream})
         exc = self._check_retry(pool, rule, work, upstream, now)
--- a/src/chervilwing/work.py
+++ b/src/chervilwing/work.py
@@ -9,7 +9,7 @@
 OK = "ok"
 FAILED = "failed"
 SILENT = "silent"
-PATH = "path"  # silent on an old connection, but reachable on a new one
+PATH_SILENT = "path"  # silent on an old connection, but reachable on a new one
 BUSY = "busy"  # refused by the upstream, so not run
 EXHAUSTED = "exhausted"  # refused: a resource that other upstreams share is used up
 LEAVING = "leaving"  # the upstream is about to go away
@@ -23,8 +23,8 @@
     methods receive. ``prefix`` is a hash of the prompt's beginning, by which requests
     share a KV cache, or empty. ``tokens`` is the number of tokens already streamed.
     ``moves`` counts the ``attempts`` that ended only because their upstream was
-    leaving. ``keeper`` is the upstream that holds the KV cache of the prompt and these
-    tokens, if any. ``model`` is the model version chosen for this request.
+    leaving. ``cache_engine`` is the upstream that holds the KV cache of the prompt and
+    these tokens, if any. ``model`` is the model version chosen for this request.
     """
 
     request_id: str
@@ -42,7 +42,7 @@
     tokens: int = 0
     attempts: int = 0
     moves: int = 0
-    keeper: str = ""
+    cache_engine: str = ""
     model: str = ""
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -83,13 +83,15 @@
         # engines. Placed by load alone, each prompt would be computed again on another
         # engine.
         state = make_state(8, slots=2)
-        work = make_work("plan", prompt=20)._replace(tokens=50, keeper="u5")
+        work = make_work("plan", prompt=20)._replace(tokens=50, cache_engine="u5")
         chosen = [choose_upstream(state, work._replace(request_id=str(n)), Random(n))
                   for n in range(4)]  # fmt: skip
         self.assertEqual(chosen[:2], ["u5", "u5"])
         self.assertNotIn("u5", chosen[2:])
         self.assertNotIn(None, chosen)
-        without_cache_holder = work._replace(keeper="u99", excluded=frozenset({"u1"}))
+        without_cache_holder = work._replace(
+            cache_engine="u99", excluded=frozenset({"u1"})
+        )
         self.assertIsNotNone(
             choose_upstream(make_state(8), without_cache_holder, Random(1))
         )
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -295,6 +295,8 @@
             scheduler.finish("plan", placed.upstream, outcome, 0.1, 1.0, 10, 0.0)
             refusal = scheduler.retry(work, placed.upstream, outcome, 0.0)
             self.assertIsNone(refusal, (outcome, work.attempts))
-            work = retries.count_attempt(retries.RULES[outcome], work, placed.upstream)
-        self.assertFalse(retries.may_retry(retries.RULES[FAILED], work._replace(
+            work = retries.with_counted_attempt(
+                retries.RETRY_RULES[outcome], work, placed.upstream
+            )
+        self.assertFalse(retries.may_retry(retries.RETRY_RULES[FAILED], work._replace(
             attempts=work.moves + retries.MAX_ATTEMPTS)))  # fmt: skip
