--- a/src/chervilwing/buyer.py
+++ b/src/chervilwing/buyer.py
@@ -12,14 +12,14 @@
 from .orders import Holder, OrderSettings
 from .planner import Offer
 from .purchases import (
-    ASKED,
     BOUGHT,
     LEAVING,
+    REQUESTED,
     decode_purchases,
     encode_purchases,
-    find_lost,
+    find_lost_purchase,
     get_offer,
-    list_owned,
+    list_owned_instances,
     make_purchase,
 )
 from .stores import JSON_HEADERS, collect_json
@@ -124,7 +124,7 @@
             self._read_purchases(task)
             return
         for purchase in task.purchases:
-            if purchase.state == ASKED:
+            if purchase.state == REQUESTED:
                 self._buy(task, purchase)
                 return
             if purchase.state == LEAVING and self._is_available(purchase.instance):
@@ -183,7 +183,7 @@
         # ones it would wait ten minutes for each, as for an instance that was just
         # bought.
         task.seen |= available | set(self._dispatch.leaving)
-        lost = find_lost(task.purchases, available, task.seen, time.time())
+        lost = find_lost_purchase(task.purchases, available, task.seen, time.time())
         if lost is not None:
             # It never registered, or it is being reclaimed and finishes its work.
             self._release(task, lost)
@@ -213,7 +213,9 @@
         }
         load = self._dispatch.scheduler.measure_load(pool)
         needed = task.planner.measure(load, now)
-        owned = list_owned(task.purchases, upstreams, available, machines, Machine())
+        owned = list_owned_instances(
+            task.purchases, upstreams, available, machines, Machine()
+        )
         return Situation(self._offers, owned, needed, machines, centres)
 
     def _start_purchase(self, task, offer):
--- a/src/chervilwing/calls.py
+++ b/src/chervilwing/calls.py
@@ -17,7 +17,7 @@
     return "/" + posixpath.normpath("/" + path).lstrip("/")
 
 
-def matches(call, method, path):
+def covers_path(call, method, path):
     """Return whether a call like ``POST /notes`` covers a request by its path."""
     wanted_method, _, wanted_path = call.partition(" ")
     if method.upper() != wanted_method:
@@ -29,19 +29,19 @@
 
 def is_idempotent(service, method, path):
     """Return whether a request to a service may be repeated."""
-    if any(matches(call, method, path) for call in service.non_idempotent):
+    if any(covers_path(call, method, path) for call in service.non_idempotent):
         return False
     if method.upper() in IDEMPOTENT_METHODS:
         return True
-    return any(matches(call, method, path) for call in service.idempotent)
+    return any(covers_path(call, method, path) for call in service.idempotent)
 
 
-def find_class(service, customer, method, path):
+def find_work_class(service, customer, method, path):
     """Return the work class of the longest matching call, else the default.
 
     The default is the service's class, else the customer's.
     """
-    rows = [row for row in service.calls if matches(row.call, method, path)]
+    rows = [row for row in service.calls if covers_path(row.call, method, path)]
     if rows:
         return max(rows, key=lambda row: len(row.call)).work_class
     return service.work_class or customer.work_class
--- a/src/chervilwing/directory.py
+++ b/src/chervilwing/directory.py
@@ -95,7 +95,9 @@
             raise NotFound(f"No service {name!r}.", scope=Scope(SERVICE, name))
         self._check_allowed(customer, SERVICE, name)
         repeatable = calls.is_idempotent(service, method, path)
-        work_class = self._find_class(calls.find_class(service, customer, method, path))
+        work_class = self._find_class(
+            calls.find_work_class(service, customer, method, path)
+        )
         return Target(customer, work_class, SERVICE, service.pool, name, repeatable)
 
     def list_pool(self, pool):
--- a/src/chervilwing/dispatch.py
+++ b/src/chervilwing/dispatch.py
@@ -29,7 +29,7 @@
 from .requests import estimate_size, has_caller_id, read_request_id
 from .scheduling import Scheduler, SchedulingSettings, Work
 from .sessions import Session
-from .stats import NOBODY
+from .stats import NO_CUSTOMER
 from .web import guard
 from .work import CANCELLED, LEAVING
 
@@ -115,10 +115,21 @@
         # Health checks of a balancer belong to no customer.
         if exchange.req.path.startswith(ADMIN_PATH):
             return
-        self.stats.select(NOBODY, NOBODY).record_outcome(exc.outcome, exc.type)
+        self.stats.select(NO_CUSTOMER, NO_CUSTOMER).record_outcome(
+            exc.outcome, exc.type
+        )
         log_request(
             RequestLine(
-                "", NOBODY, NOBODY, "", 0, 0, 0, exc.outcome, exc.type, exc.status
+                "",
+                NO_CUSTOMER,
+                NO_CUSTOMER,
+                "",
+                0,
+                0,
+                0,
+                exc.outcome,
+                exc.type,
+                exc.status,
             )
         )
 
--- a/src/chervilwing/orderer.py
+++ b/src/chervilwing/orderer.py
@@ -24,7 +24,7 @@
     OrderRefused,
     OrderSend,
     OrderSettings,
-    name_order,
+    make_order_id,
 )
 from .stores import JSON_HEADERS, collect_json
 
@@ -114,7 +114,7 @@
         may_unload = now - self._revision_since > UNLOAD_DELAY
         wanted = self._wanted_models[pool]
         for order in rollout.plan(wanted, engines, max_loads, may_unload, now):
-            order_id = name_order(self._revision, order)
+            order_id = make_order_id(self._revision, order)
             rollout.record_sent(order_id, order, now)
             self._run_actions(pool, holder.order(order_id, order, now))
 
--- a/src/chervilwing/orders.py
+++ b/src/chervilwing/orders.py
@@ -88,7 +88,7 @@
     failure: ChervilwingError
 
 
-def name_order(revision, order):
+def make_order_id(revision, order):
     """Return the order's id; every holder computes the same one for a revision."""
     fields = (str(revision), order.operation, order.upstream.name, *order[2:])
     digest = hashlib.blake2b("\0".join(fields).encode(), digest_size=ORDER_ID_BYTES)
--- a/src/chervilwing/purchases.py
+++ b/src/chervilwing/purchases.py
@@ -11,7 +11,7 @@
 
 from .planner import Offer, Owned
 
-ASKED = "asked"
+REQUESTED = "asked"
 BOUGHT = "bought"
 LEAVING = "leaving"
 # Seconds within which a purchased instance must be on the instance list.
@@ -28,14 +28,14 @@
     zone: str
     machine_class: str
     market: str
-    state: str = ASKED
+    state: str = REQUESTED
     instance: str = ""
     at: float = 0.0
 
 
 def make_purchase(request, offer, now):
     """Return the record of a purchase that is about to be requested."""
-    return Purchase(request, *offer[:3], ASKED, "", now)
+    return Purchase(request, *offer[:3], REQUESTED, "", now)
 
 
 def encode_purchases(purchases):
@@ -53,7 +53,7 @@
     return Offer(purchase.zone, purchase.machine_class, purchase.market, 0.0)
 
 
-def list_owned(purchases, upstreams, available, machines, default):
+def list_owned_instances(purchases, upstreams, available, machines, default):
     """Return the owned instances: live upstreams, and purchases not listed yet.
 
     ``available`` are the names of listed instances that aren't leaving. ``machines``
@@ -91,7 +91,7 @@
     return tuple(owned)
 
 
-def find_lost(purchases, available, listed_before, now):
+def find_lost_purchase(purchases, available, listed_before, now):
     """Return a purchase whose instance is gone or was never listed, or None.
 
     ``available`` are the names of listed instances that aren't leaving, and
--- a/src/chervilwing/stats.py
+++ b/src/chervilwing/stats.py
@@ -20,8 +20,8 @@
 SIGNIFICANT_DIGITS = 2
 
 # A configured name can't contain parentheses, so these can't clash with a customer's.
-OTHER = "(other)"
-NOBODY = "(none)"
+OTHER_LABEL = "(other)"
+NO_CUSTOMER = "(none)"
 MAX_CAUSES = 64
 
 
@@ -71,7 +71,7 @@
         """
         key = (outcome, cause)
         if key not in self.outcomes and len(self.outcomes) >= MAX_CAUSES:
-            key = (outcome, OTHER)
+            key = (outcome, OTHER_LABEL)
         self.outcomes[key] += 1
 
     def record_tokens(self, tokens, recomputed=0):
@@ -98,7 +98,7 @@
         """
         key = (customer, work_class)
         if key not in self.series and len(self.series) >= self.pairs:
-            key = (OTHER, OTHER)
+            key = (OTHER_LABEL, OTHER_LABEL)
         if key not in self.series:
             self.series[key] = Series(*key)
         return self.series[key]
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -4,7 +4,7 @@
 import unittest
 from pathlib import Path
 
-from chervilwing.calls import find_class, is_idempotent, matches
+from chervilwing.calls import covers_path, find_work_class, is_idempotent
 from chervilwing.checks import check_consistency
 from chervilwing.documents import (
     MAX_BYTES,
@@ -193,11 +193,13 @@
         service = read_example("andesur")[0].services[0]
         customer = Customer("c")
         self.assertEqual(
-            find_class(service, customer, "GET", "/documents/4"), "document"
+            find_work_class(service, customer, "GET", "/documents/4"), "document"
+        )
+        self.assertEqual(
+            find_work_class(service, customer, "GET", "/other"), "standard"
         )
-        self.assertEqual(find_class(service, customer, "GET", "/other"), "standard")
         service = service._replace(work_class="quote")
-        self.assertEqual(find_class(service, customer, "GET", "/other"), "quote")
+        self.assertEqual(find_work_class(service, customer, "GET", "/other"), "quote")
 
     def test_variant_spelling_of_a_path_is_not_idempotent(self):
         # A client sends POST //notes, which the service handles as POST /notes. If it
@@ -215,7 +217,7 @@
         for path in paths:
             with self.subTest(path=path):
                 self.assertFalse(is_idempotent(service, "POST", path))
-        self.assertFalse(matches("POST /notes", "POST", "/notesheet"))
+        self.assertFalse(covers_path("POST /notes", "POST", "/notesheet"))
         self.assertTrue(is_idempotent(service, "GET", "/notes"))
 
     def test_unlisted_post_is_not_idempotent(self):
--- a/tests/test_fleets.py
+++ b/tests/test_fleets.py
@@ -9,8 +9,8 @@
     BOUGHT,
     LISTING_TIMEOUT,
     Purchase,
-    find_lost,
-    list_owned,
+    find_lost_purchase,
+    list_owned_instances,
 )
 
 FLEET = Fleet("f", "pool", ("standard", "large"), max_instances=20)
@@ -145,10 +145,16 @@
 class TestPurchases(unittest.TestCase):
     def test_pending_purchase_is_owned_once_and_lost_one_is_found(self):
         row = Purchase("r", "a", "large", "on_demand", BOUGHT, "i-1", 100.0)
-        owned = list_owned((row,), (), set(), MACHINES, Machine())
+        owned = list_owned_instances((row,), (), set(), MACHINES, Machine())
         self.assertEqual(owned, (Owned("i-1", "a", 0.0, 16, "large", "on_demand"),))
-        self.assertEqual(list_owned((row,), (), {"i-1"}, MACHINES, Machine()), ())
-        self.assertIsNone(find_lost((row,), {"i-1"}, {"i-1"}, 1e9))
-        self.assertIsNone(find_lost((row,), set(), set(), 100.0 + LISTING_TIMEOUT))
-        self.assertEqual(find_lost((row,), set(), set(), 101.0 + LISTING_TIMEOUT), row)
-        self.assertEqual(find_lost((row,), set(), {"i-1"}, 101.0), row)
+        self.assertEqual(
+            list_owned_instances((row,), (), {"i-1"}, MACHINES, Machine()), ()
+        )
+        self.assertIsNone(find_lost_purchase((row,), {"i-1"}, {"i-1"}, 1e9))
+        self.assertIsNone(
+            find_lost_purchase((row,), set(), set(), 100.0 + LISTING_TIMEOUT)
+        )
+        self.assertEqual(
+            find_lost_purchase((row,), set(), set(), 101.0 + LISTING_TIMEOUT), row
+        )
+        self.assertEqual(find_lost_purchase((row,), set(), {"i-1"}, 101.0), row)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -12,7 +12,7 @@
     OrderRefused,
     OrderSend,
     OrderSettings,
-    name_order,
+    make_order_id,
 )
 
 NOW = 1.8e9
@@ -93,12 +93,12 @@
         self.assertEqual(self.order_types(FENCED, NOW), [OrderRefused])
 
     def test_two_holders_give_an_order_the_same_id(self):
-        first = name_order(7, Order("load", FENCED, "m"))
-        self.assertEqual(first, name_order(7, Order("load", FENCED, "m")))
+        first = make_order_id(7, Order("load", FENCED, "m"))
+        self.assertEqual(first, make_order_id(7, Order("load", FENCED, "m")))
         others = (
-            name_order(8, Order("load", FENCED, "m")),
-            name_order(7, Order("unload", FENCED, "m")),
-            name_order(7, Order("load", FENCED, "", "m")),
-            name_order(7, Order("load", UNFENCED, "m")),
+            make_order_id(8, Order("load", FENCED, "m")),
+            make_order_id(7, Order("unload", FENCED, "m")),
+            make_order_id(7, Order("load", FENCED, "", "m")),
+            make_order_id(7, Order("load", UNFENCED, "m")),
         )
         self.assertNotIn(first, others)
--- a/tests/test_stats.py
+++ b/tests/test_stats.py
@@ -6,7 +6,7 @@
 
 from chervilwing.exceptions import BadRequest
 from chervilwing.reports import make_report, merge_reports, render_metrics, summarise
-from chervilwing.stats import MAX_CAUSES, OTHER, Stats, make_histogram
+from chervilwing.stats import MAX_CAUSES, OTHER_LABEL, Stats, make_histogram
 
 # Bytes. A histogram takes 21.5 to 21.6 kB; a wider range or more digits would exceed
 # this.
@@ -39,7 +39,7 @@
         for i in range(50):
             stats.select(f"c{i}", "memo").record_outcome("ran")
         self.assertEqual(len(stats.series), 3)
-        self.assertEqual(stats.select(OTHER, OTHER).outcomes.total(), 48)
+        self.assertEqual(stats.select(OTHER_LABEL, OTHER_LABEL).outcomes.total(), 48)
 
     def test_causes_beyond_the_limit_are_counted_together(self):
         series = Stats(pairs=1).select("c", "memo")
--- a/tests/world.py
+++ b/tests/world.py
@@ -498,7 +498,7 @@
         """Order an instance to load a model on an engine."""
         node = self.nodes[name]
         order = o.Order("load", self.engines[engine], model)
-        args = o.name_order(1, order), order
+        args = o.make_order_id(1, order), order
         node.run(node.boot_count, node.call_core, node.holder, "order", *args)
 
     def add_engine(self, name, zone, fenced=True):
