--- a/src/chervilwing/buyer.py
+++ b/src/chervilwing/buyer.py
@@ -22,7 +22,7 @@
     list_owned_instances,
     make_purchase,
 )
-from .stores import JSON_HEADERS, collect_json
+from .stores import JSON_HEADERS, collect_json_response
 
 # In place of a data centre's name: a fleet has one holder for all data centres.
 ALL_DATA_CENTRES = "*"
@@ -113,7 +113,7 @@
             now = time.monotonic()
             self._apply(task, task.holder.receive(token, reply, now))
 
-        self._store.carry(action, received)
+        self._store.send_call(action, received)
 
     def _step(self, task, now):
         """Carry out the most urgent action of a fleet."""
@@ -303,4 +303,4 @@
             connect_timeout=self._cfg.connect_timeout,
             silence_timeout=self._cfg.silence_timeout,
         )
-        self._client.submit(call, collect_json(answered))
+        self._client.submit(call, collect_json_response(answered))
--- a/src/chervilwing/claimant.py
+++ b/src/chervilwing/claimant.py
@@ -63,16 +63,16 @@
         fingerprint = make_fingerprint(req)
         self._apply(self._ledger.claim(session.serial, key, fingerprint, time.time()))
 
-    def may_start(self, session):
+    def may_send(self, session):
         """Return whether the session's call may still be sent under its claim."""
-        return self._ledger.may_start(session.serial, time.time())
+        return self._ledger.may_send(session.serial, time.time())
 
     def settle(self, session, status, content_type, body):
         """Record the response that later requests with the same key get."""
         outcome = encode_outcome(status, content_type, body)
         self._apply(self._ledger.settle(session.serial, outcome, time.time()))
 
-    def fail(self, session, exc):
+    def record_failure(self, session, exc):
         """Release the key of a call that was not run; record any other failure."""
         self._sessions.pop(session.serial, None)
         if exc.outcome == NOT_RUN:
@@ -97,10 +97,10 @@
             APPLIERS[type(action)](self, action)
 
     def _send_store_call(self, action):
-        self._store.carry(action, self._on_reply)
+        self._store.send_call(action, self._on_reply)
 
     def _forward(self, action):
-        self._peers.forward(action.instance, action.message)
+        self._peers.send_message(action.instance, action.message)
 
     def _on_granted(self, action):
         session, on_granted = self._sessions.pop(action.operation, (None, None))
--- a/src/chervilwing/claims.py
+++ b/src/chervilwing/claims.py
@@ -150,7 +150,7 @@
         pending = self._pending.get((operation, CLAIM))
         return self._abandon(pending.ask, now) if pending else ()
 
-    def may_start(self, operation, now):
+    def may_send(self, operation, now):
         """Return whether the request of a granted claim may still be sent."""
         ask = self._held.get(operation)
         return ask is not None and ask.outcome is None and now < ask.run_until
--- a/src/chervilwing/connections.py
+++ b/src/chervilwing/connections.py
@@ -47,7 +47,7 @@
 )
 
 
-def find_outcome(exc):
+def get_attempt_outcome(exc):
     """Return the scheduler's outcome for a call that failed with ``exc``."""
     return next(
         outcome for exc_type, outcome in FAILURE_OUTCOMES if isinstance(exc, exc_type)
--- a/src/chervilwing/daemon.py
+++ b/src/chervilwing/daemon.py
@@ -96,8 +96,8 @@
             int(time.time() * 1000),
         )
         self._membership = Membership(MembershipSettings(), record, random.Random())
-        self._membership.join(cfg.peers)
-        self._peers.adopt(self._membership)
+        self._membership.set_seeds(cfg.peers)
+        self._peers.set_membership(self._membership)
 
     def _register_platform_tasks(self):
         cfg, dispatcher = self.cfg, self._dispatch
@@ -119,7 +119,7 @@
         ).register(self)
         LoadPoller(cfg, self._client, dispatcher).register(self)
         self._buyer = Buyer(
-            cfg, store, self._client, dispatcher, self._notices.leave
+            cfg, store, self._client, dispatcher, self._notices.announce_leaving
         ).register(self)
         self._orderer = Orderer(cfg, store, self._client, dispatcher).register(self)
 
@@ -154,11 +154,11 @@
 
     def _receive_update(self, update):
         if isinstance(update.item, Notice):
-            self._notices.hear(update.item)
+            self._notices.receive_notice(update.item)
         elif isinstance(update.item, Record):
             self._update_members()
         else:
-            self._follower.hear(update.value)
+            self._follower.receive_value(update.value)
 
     def _update_members(self):
         live = [item for item in self._membership.members() if item.state == LIVE]
--- a/src/chervilwing/follower.py
+++ b/src/chervilwing/follower.py
@@ -56,7 +56,7 @@
         """Set the live entry instances, name to data centre."""
         self.revisions.enlist(members)
 
-    def hear(self, value):
+    def receive_value(self, value):
         """Handle the bytes of a value that the membership received."""
         try:
             text = value.decode()
@@ -83,7 +83,7 @@
             APPLIERS[type(action)](self, action)
 
     def _send_store_call(self, action):
-        self._store.carry(action, self._on_reply)
+        self._store.send_call(action, self._on_reply)
 
     def _on_adopted(self, action):
         configuration = unwrap(parse_document(action.value))
--- a/src/chervilwing/forwards.py
+++ b/src/chervilwing/forwards.py
@@ -1,6 +1,6 @@
 """Run one call to a plain service: its attempts and its answer to the caller."""
 
-from .connections import Call, CallHandlers, find_outcome
+from .connections import Call, CallHandlers, get_attempt_outcome
 from .exceptions import NOT_RUN, RAN, KeyExpired, Scope, UpstreamFailed
 from .work import BUSY, CANCELLED, FAILED, OK
 
@@ -41,7 +41,7 @@
     def start(self, upstream):
         """Start an attempt on this upstream."""
         session = self.session
-        if session.claimant is not None and not session.claimant.may_start(session):
+        if session.claimant is not None and not session.claimant.may_send(session):
             self._upstream = upstream
             self._report(CANCELLED)
             session.refuse(KeyExpired("The claim expired.", outcome=NOT_RUN))
@@ -124,7 +124,7 @@
         session.close()
 
     def _handle_failure(self, exc):
-        self._fail_attempt(find_outcome(exc), exc)
+        self._fail_attempt(get_attempt_outcome(exc), exc)
 
     def _fail_attempt(self, outcome, exc):
         self._report(outcome)
--- a/src/chervilwing/generations.py
+++ b/src/chervilwing/generations.py
@@ -5,7 +5,7 @@
 
 from . import caches, completions
 from .answers import Answer
-from .connections import Call, CallHandlers, find_outcome
+from .connections import Call, CallHandlers, get_attempt_outcome
 from .exceptions import NOT_RUN, Scope, UpstreamFailed
 from .handoffs import State
 from .web import EVENTS_TYPE
@@ -255,7 +255,7 @@
 
     def _handle_failure(self, exc):
         if not self.answer.complete:
-            self._fail_attempt(find_outcome(exc), exc.detail)
+            self._fail_attempt(get_attempt_outcome(exc), exc.detail)
 
     def _emit(self, tokens):
         now = time.monotonic()
--- a/src/chervilwing/handoffs.py
+++ b/src/chervilwing/handoffs.py
@@ -13,7 +13,7 @@
 from .exceptions import BadFrame
 from .messages import Forward
 from .ranking import rank
-from .wire import rebuild
+from .wire import decode_value
 
 # Bytes of state in a part. A frame holds 64 KiB; the rest is for the other fields.
 PART_BYTES = 48 * 1024
@@ -154,7 +154,7 @@
         value = msgpack.unpackb(b"".join(parts))
     except Exception as exc:  # msgpack raises many types.
         raise BadFrame("A state is not valid msgpack.") from exc
-    return rebuild(State, value)
+    return decode_value(State, value)
 
 
 def choose_recipients(key, live, data_centre):
--- a/src/chervilwing/loads.py
+++ b/src/chervilwing/loads.py
@@ -7,7 +7,7 @@
 
 from .connections import Call
 from .models import MODEL
-from .stores import collect_json
+from .stores import collect_json_response
 
 # Upstreams that an instance polls per second, in turn. If 320 nodes polled 660 workers
 # once a second each, that would be 211,000 calls a second. An instance counts its own
@@ -57,7 +57,7 @@
         # If only old connections failed, the upstream isn't marked as down: it may just
         # have answered on a new one. A pool with a single upstream would otherwise
         # refuse all waiting requests.
-        self._client.submit(call, collect_json(handle, path_lost=lambda: None))
+        self._client.submit(call, collect_json_response(handle, path_lost=lambda: None))
 
     def _handle_load(self, name, status, value):
         scheduler = self._dispatch.scheduler
--- a/src/chervilwing/membership.py
+++ b/src/chervilwing/membership.py
@@ -112,7 +112,7 @@
         }
         self._keep(record)
 
-    def join(self, seeds):
+    def set_seeds(self, seeds):
         """Set the seed addresses to contact while no other instance is reachable."""
         self._seeds = [seed for seed in seeds if seed != self._record.address]
 
--- a/src/chervilwing/notices.py
+++ b/src/chervilwing/notices.py
@@ -8,7 +8,7 @@
 from .gossip import UPSTREAM, Notice
 from .logs import log_event
 from .models import MODEL, Address, Upstream
-from .stores import collect_json
+from .stores import collect_json_response
 
 # Seconds for which one watch on the notices waits. A watch without a reply is given up
 # after this time plus the connect timeout, and the next watch must still receive the
@@ -65,7 +65,7 @@
         self._notice_due = 0.0
         self._list_due = 0.0
 
-    def hear(self, notice):
+    def receive_notice(self, notice):
         """Apply a notice that was received from a peer."""
         self._apply_notice(notice.name, notice.deadline)
 
@@ -94,7 +94,7 @@
             connect_timeout=self._cfg.connect_timeout,
             silence_timeout=silence_timeout,
         )
-        self._client.submit(call, collect_json(self._on_notices, self._watch))
+        self._client.submit(call, collect_json_response(self._on_notices, self._watch))
 
     def _on_notices(self, status, value):
         self._watching = False
@@ -103,9 +103,9 @@
             return
         for row in value.get("notices", ()):
             self._last_seq = max(self._last_seq, int(row["seq"]))
-            self.leave(str(row["instance"]), float(row["deadline"]))
+            self.announce_leaving(str(row["instance"]), float(row["deadline"]))
 
-    def leave(self, name, deadline):
+    def announce_leaving(self, name, deadline):
         """Gossip and apply that an upstream leaves by ``deadline`` (Unix seconds)."""
         log_event("notice", instance=name, deadline=deadline)
         self._publish(Notice(UPSTREAM, name, deadline))
@@ -120,7 +120,7 @@
     def _read_list(self):
         wait = self._cfg.connect_timeout
         call = Call(self._cfg.instance_list, "GET", "/list", {}, b"", wait, wait)
-        self._client.submit(call, collect_json(self._on_list))
+        self._client.submit(call, collect_json_response(self._on_list))
 
     def _on_list(self, status, value):
         if status != 200 or not isinstance(value, dict):
--- a/src/chervilwing/orderer.py
+++ b/src/chervilwing/orderer.py
@@ -26,7 +26,7 @@
     OrderSettings,
     make_order_id,
 )
-from .stores import JSON_HEADERS, collect_json
+from .stores import JSON_HEADERS, collect_json_response
 
 ORDERS_PATH = "/v1/orders"
 STATUS_OK = 200
@@ -132,7 +132,7 @@
             ACTION_HANDLERS[type(action)](self, pool, action)
 
     def _call_store(self, pool, action):
-        self._store.carry(action, partial(self._on_store_reply, pool))
+        self._store.send_call(action, partial(self._on_store_reply, pool))
 
     def _on_store_reply(self, pool, token, reply):
         holder = self._holders[pool]
@@ -160,7 +160,7 @@
             send_before=action.send_before,
         )
         on_answer = partial(self._on_engine_answer, pool, action.order_id)
-        self._client.submit(call, collect_json(on_answer))
+        self._client.submit(call, collect_json_response(on_answer))
 
     def _on_engine_answer(self, pool, order_id, status, value):
         self._unanswered.discard(order_id)
--- a/src/chervilwing/peers.py
+++ b/src/chervilwing/peers.py
@@ -11,7 +11,7 @@
 from .logs import log_event
 from .membership import Heard, Send
 from .sockets import StreamHandlers, Streams
-from .wire import rebuild
+from .wire import decode_value
 
 HELLO = "hello"
 MESSAGE = "message"
@@ -69,7 +69,7 @@
         """Start to accept peers; return the bound address."""
         return self._streams.listen(address)
 
-    def adopt(self, membership):
+    def set_membership(self, membership):
         """Set the membership to run, once the bound address is known."""
         self._membership = membership
 
@@ -85,7 +85,7 @@
         """Record the address at which an instance accepts peers."""
         self._addresses[name] = address
 
-    def forward(self, name, message):
+    def send_message(self, name, message):
         """Send a message to an instance, without confirmation of delivery."""
         address = self._addresses.get(name)
         if address is None:
@@ -196,7 +196,7 @@
         ):
             raise BadFrame("An unknown message.")
         kind, on_message = self._subscriptions[body[0]]
-        on_message(stream.name, rebuild(kind, body[1]))
+        on_message(stream.name, decode_value(kind, body[1]))
 
     def _is_subscribed(self, name):
         return isinstance(name, str) and name in self._subscriptions
--- a/src/chervilwing/reconnects.py
+++ b/src/chervilwing/reconnects.py
@@ -244,7 +244,7 @@
         if held is None:
             peer, _ = self._handed_over.get(seek.key, ("", 0.0))
             answer = Moved(seek.search, peer) if peer else Unheld(seek.search)
-            self._peers.forward(sender, answer)
+            self._peers.send_message(sender, answer)
         elif held.session.handing_over:
             # Reply after the hand-over that is in progress.
             self._deferred_seeks.setdefault(seek.key, []).append((sender, seek))
@@ -295,7 +295,7 @@
             APPLIERS[type(action)](self, action)
 
     def _forward(self, action):
-        self._peers.forward(action.instance, action.message)
+        self._peers.send_message(action.instance, action.message)
 
     def _delivered(self, action):
         session = self._handing_over.pop(action.transfer)
@@ -327,7 +327,7 @@
             taken = False
             log_event("not taken over", detail=exc.detail)
         receipt = Receipt(action.transfer, action.number, taken)
-        self._peers.forward(action.sender, receipt)
+        self._peers.send_message(action.sender, receipt)
         pending = self._pending.get(action.transfer)
         if pending is not None:
             self._searches.finish(action.transfer)
--- a/src/chervilwing/sessions.py
+++ b/src/chervilwing/sessions.py
@@ -114,7 +114,7 @@
         self.cause = exc.type
         # If an attempt is still running, its answer settles the claim instead.
         if self.claimant is not None and not self.run.running:
-            self.claimant.fail(self, exc)
+            self.claimant.record_failure(self, exc)
         self.exchange.refuse(exc, self.headers)
         self.close()
 
--- a/src/chervilwing/stores.py
+++ b/src/chervilwing/stores.py
@@ -112,7 +112,7 @@
             call, collect(lambda status, answer: reply(decode(req, status, answer)))
         )
 
-    def carry(self, action, received):
+    def send_call(self, action, received):
         """Send a StoreCall's request; call ``received`` with the token and reply."""
         self.submit(action.request, lambda reply: received(action.token, reply))
 
@@ -142,7 +142,7 @@
     return CallHandlers(on_head, parts.append, on_done, on_failed)
 
 
-def collect_json(reply, path_lost=None):
+def collect_json_response(reply, path_lost=None):
     """Return handlers that call ``reply`` with the status and the decoded JSON.
 
     The JSON value is None for an empty body; invalid JSON gives status 0.
--- a/src/chervilwing/wire.py
+++ b/src/chervilwing/wire.py
@@ -25,7 +25,7 @@
     return tuple(hints[name] for name in type_._fields)
 
 
-def rebuild(type_, value):
+def decode_value(type_, value):
     """Return a received value as an instance of ``type_``, or raise BadFrame."""
     if type_ is Any:
         return value
@@ -46,14 +46,14 @@
     if value is None and NoneType in get_args(type_):
         return None
     members = [item for item in get_args(type_) if item is not NoneType]
-    return rebuild(members[0], value)
+    return decode_value(members[0], value)
 
 
 def rebuild_tuple(type_, value):
     """Return a tuple from a list whose items all have the same type."""
     if not isinstance(value, (list, tuple)):
         raise BadFrame("A field is not a list.")
-    return tuple(rebuild(get_args(type_)[0], item) for item in value)
+    return tuple(decode_value(get_args(type_)[0], item) for item in value)
 
 
 def rebuild_named_tuple(type_, value):
@@ -61,4 +61,4 @@
     types = list_field_types(type_)
     if not isinstance(value, (list, tuple)) or len(value) != len(types):
         raise BadFrame(f"A {type_.__name__} has {len(types)} fields.")
-    return type_(*(rebuild(*pair) for pair in zip(types, value, strict=True)))
+    return type_(*(decode_value(*pair) for pair in zip(types, value, strict=True)))
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -57,7 +57,7 @@
         rng = random.Random(self.rng.random())
         node = Membership(self.cfg, record, rng)
         node.centre = centre
-        node.join([Address("127.0.0.1", 20_000 + seed) for seed in range(3)])
+        node.set_seeds([Address("127.0.0.1", 20_000 + seed) for seed in range(3)])
         self.stop(address)
         self.nodes[address] = node
         self._push(
--- a/tests/test_handoffs.py
+++ b/tests/test_handoffs.py
@@ -33,7 +33,7 @@
     unpack_state,
 )
 from chervilwing.messages import Forward
-from chervilwing.wire import rebuild
+from chervilwing.wire import decode_value
 
 KEY = Key("andesur", "req-1", "0f")
 LIVE = {f"e{number}": "abc"[number % 3] for number in range(9)}
@@ -53,7 +53,7 @@
             results.append(action)
             continue
         kind = type(action.message)
-        message = rebuild(kind, [*action.message])
+        message = decode_value(kind, [*action.message])
         if kind is Part:
             actions += inbox.receive("one", message, now)
         else:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,7 +14,7 @@
 from chervilwing.models import Address
 from chervilwing.peers import split_message
 from chervilwing.segments import Outcome, Verdict
-from chervilwing.wire import rebuild
+from chervilwing.wire import decode_value
 from tests.deployments import Deployment, complete
 from tests.procs import HOST, poll, read_file
 
@@ -36,12 +36,12 @@
 
 class TestWire(unittest.TestCase):
     def test_message_is_rebuilt_as_its_type(self):
-        sample = rebuild(Sample, VALID_FIELDS)
+        sample = decode_value(Sample, VALID_FIELDS)
         self.assertEqual(sample.outcome, Outcome(200, "body"))
         self.assertEqual(sample.names, ("b",))
         verdict = Verdict("claim", "op", "granted", 3.0)
         frame = Decoder().feed(encode(Frame("message", list(verdict))))[0]
-        self.assertEqual(rebuild(Verdict, frame.body), verdict)
+        self.assertEqual(decode_value(Verdict, frame.body), verdict)
 
     def test_large_message_is_sent_in_parts_that_fit_a_frame(self):
         # A recorded outcome may be larger than a frame. In a single frame the sender
@@ -64,7 +64,7 @@
                 (fields, fields[: rng.randrange(5)], rng.choice(invalid_values))
             )
             try:
-                rebuild(Sample, value)
+                decode_value(Sample, value)
             except BadFrame:
                 continue
             self.assertEqual(len(value), len(VALID_FIELDS))
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -73,7 +73,7 @@
 
     def test_value_of_a_peer_is_put_in_force(self):
         value = serialise(make_configuration(Upstreams((), ()), 4)).encode()
-        self.follower.hear(value)
+        self.follower.receive_value(value)
         self.assertEqual(
             [configuration.revision for configuration in self.configured], [4]
         )
@@ -87,12 +87,14 @@
             raise TooLarge("over the limit")
 
         self.follower._publish = refuse
-        self.follower.hear(serialise(make_configuration(Upstreams((), ()))).encode())
+        self.follower.receive_value(
+            serialise(make_configuration(Upstreams((), ()))).encode()
+        )
         self.assertEqual(len(self.configured), 1)
 
     def test_malformed_values_are_ignored(self):
         # A peer of another version publishes a value that this version can't decode. An
         # exception would end the task that serves all peers.
-        self.follower.hear(b"\xff\xfe")
-        self.follower.hear(b"{}")
+        self.follower.receive_value(b"\xff\xfe")
+        self.follower.receive_value(b"{}")
         self.assertEqual((self.configured, self.published), ([], []))
--- a/tests/world.py
+++ b/tests/world.py
@@ -314,7 +314,7 @@
 
     def _on_granted(self, action):
         call = self.calls[action.operation]
-        if not self.ledger.may_start(action.operation, self.world.now):
+        if not self.ledger.may_send(action.operation, self.world.now):
             return
         # The process may be paused after this check and before it sends the request.
         self._apply_pause()
