--- a/src/chervilwing/changes.py
+++ b/src/chervilwing/changes.py
@@ -9,7 +9,7 @@
 
 from .documents import check_configuration
 from .models import Configuration, Inventory, Rules
-from .shapes import SHAPES, fail, read_entry, to_plain
+from .shapes import SHAPES, raise_invalid, read_entry, to_plain
 
 EMPTY_CONFIGURATION = Configuration(0, "", Inventory(), Rules())
 PART_BY_SECTION = {
@@ -125,10 +125,10 @@
     section, _, rest = path.partition(".")
     name, _, key = rest.rpartition(".")
     if not (separator and name and key):
-        fail(line, "not section.name.key=value")
+        raise_invalid(line, "not section.name.key=value")
     _check_section(section)
     if key == "name":
-        fail(path, "a name can't be changed; remove the entry and add another")
+        raise_invalid(path, "a name can't be changed; remove the entry and add another")
     return section, name, key, _parse_value(text)
 
 
@@ -143,13 +143,13 @@
     section, _, name = path.partition(".")
     _check_section(section)
     if name not in index_entries(base, section):
-        fail(path, "no such entry")
+        raise_invalid(path, "no such entry")
     return Change(section, name)
 
 
 def _check_section(section):
     if section not in PART_BY_SECTION:
-        fail(section, f"not one of {', '.join(PART_BY_SECTION)}")
+        raise_invalid(section, f"not one of {', '.join(PART_BY_SECTION)}")
 
 
 def describe_change(base, change):
--- a/src/chervilwing/checks.py
+++ b/src/chervilwing/checks.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from .models import MODEL, SERVICE, Inventory, Rules
-from .shapes import ANY, fail
+from .shapes import ANY, raise_invalid
 
 STANDARD = "standard"
 SUM_TOLERANCE = 1e-6
@@ -41,16 +41,16 @@
 def _check_no_duplicates(path, names):
     for name, count in Counter(names).items():
         if count > 1:
-            fail(f"{path}.{name}", f"occurs {count} times")
+            raise_invalid(f"{path}.{name}", f"occurs {count} times")
 
 
 def _fill_kind(upstream, kinds):
     path = f"upstreams.{upstream.name}"
     if upstream.pool not in kinds:
-        fail(f"{path}.pool", f"no pool {upstream.pool!r}")
+        raise_invalid(f"{path}.pool", f"no pool {upstream.pool!r}")
     kind = kinds[upstream.pool]
     if upstream.kind not in ("", kind):
-        fail(f"{path}.kind", f"pool {upstream.pool!r} is of kind {kind!r}")
+        raise_invalid(f"{path}.kind", f"pool {upstream.pool!r} is of kind {kind!r}")
     return upstream._replace(kind=kind)
 
 
@@ -59,7 +59,9 @@
     for item in inventory.upstreams:
         owner = owners.setdefault(item.address, item.name)
         if owner != item.name:
-            fail(f"upstreams.{item.name}.address", f"also used by upstream {owner!r}")
+            raise_invalid(
+                f"upstreams.{item.name}.address", f"also used by upstream {owner!r}"
+            )
 
 
 def _check_pools(inventory, rules, kinds):
@@ -68,9 +70,9 @@
     for section, item, kind in expected:
         path = f"{section}.{item.name}.pool"
         if item.pool not in kinds:
-            fail(path, f"no pool {item.pool!r}")
+            raise_invalid(path, f"no pool {item.pool!r}")
         if kinds[item.pool] != kind:
-            fail(path, f"pool {item.pool!r} is not of kind {kind!r}")
+            raise_invalid(path, f"pool {item.pool!r} is not of kind {kind!r}")
 
 
 def _check_classes(inventory, rules):
@@ -88,7 +90,7 @@
         ]
     for path, name in used:
         if name and name not in classes:
-            fail(f"{path}.work_class", f"no class {name!r}")
+            raise_invalid(f"{path}.work_class", f"no class {name!r}")
 
 
 def _check_shares(inventory, rules):
@@ -99,20 +101,22 @@
         _check_no_duplicates(f"{path}.shares", versions)
         total = sum(share.part for share in route.shares)
         if versions and abs(total - 1) > SUM_TOLERANCE:
-            fail(f"{path}.shares", f"the parts sum to {total:g}, not to 1")
+            raise_invalid(f"{path}.shares", f"the parts sum to {total:g}, not to 1")
         for version in versions or [route.name]:
             if models_by_pool[route.pool] and version not in models_by_pool[route.pool]:
-                fail(path, f"pool {route.pool!r} doesn't list model {version!r}")
+                raise_invalid(
+                    path, f"pool {route.pool!r} doesn't list model {version!r}"
+                )
 
 
 def _check_fleets(rules, kinds):
     owners = {}
     for item in rules.fleets:
         if item.pool not in kinds:
-            fail(f"fleets.{item.name}.pool", f"no pool {item.pool!r}")
+            raise_invalid(f"fleets.{item.name}.pool", f"no pool {item.pool!r}")
         owner = owners.setdefault(item.pool, item.name)
         if owner != item.name:
-            fail(f"fleets.{item.name}.pool", f"also used by fleet {owner!r}")
+            raise_invalid(f"fleets.{item.name}.pool", f"also used by fleet {owner!r}")
 
 
 def _check_customers(inventory, rules):
@@ -122,8 +126,10 @@
         path = f"customers.{item.name}"
         for name in item.allowed:
             if name not in targets:
-                fail(f"{path}.allowed", f"no model or service {name!r}")
+                raise_invalid(f"{path}.allowed", f"no model or service {name!r}")
         for digest in item.key_hashes:
             owner = owners.setdefault(digest, item.name)
             if owner != item.name:
-                fail(f"{path}.key_hashes", f"customer {owner!r} has the same key")
+                raise_invalid(
+                    f"{path}.key_hashes", f"customer {owner!r} has the same key"
+                )
--- a/src/chervilwing/connections.py
+++ b/src/chervilwing/connections.py
@@ -57,8 +57,8 @@
 class Call(NamedTuple):
     """One HTTP request to an outside system; times are in seconds.
 
-    ``fresh`` opens a new connection: the upstream may already have closed one that was
-    kept alive, and it is then unknown whether a request written to it ran.
+    ``new_connection`` opens a new connection: the upstream may already have closed one
+    that was kept alive, and it is then unknown whether a request written to it ran.
     ``send_before`` is a time on the monotonic clock, from which on the request is no
     longer sent. ``probe_if_silent`` makes the client send a probe on a new connection
     before a silent call fails. ``host`` replaces the address in the Host field.
@@ -75,7 +75,7 @@
     body: bytes = b""
     connect_timeout: float = 1.0
     silence_timeout: float = 5.0
-    fresh: bool = False
+    new_connection: bool = False
     send_before: float = float("inf")
     probe_if_silent: bool = True
     host: str = ""
@@ -95,14 +95,14 @@
 
 
 class CallState:
-    """State of one call; ``over`` is set once it has ended or was cancelled."""
+    """State of one call; ``finished`` is set once it has ended or was cancelled."""
 
     __slots__ = (
         "call",
         "handlers",
         "reader",
         "conn",
-        "over",
+        "finished",
         "head_delivered",
         "last_activity",
         "paused",
@@ -113,7 +113,7 @@
         self.handlers = handlers
         self.reader = ResponseReader(call.method)
         self.conn = None
-        self.over = False
+        self.finished = False
         self.head_delivered = False
         self.last_activity = now
         self.paused = False
@@ -175,7 +175,7 @@
 
         Does nothing if the call is over.
         """
-        if state.over:
+        if state.finished:
             return
         self._end(state)
         self._streams.drop(state.conn)
@@ -183,14 +183,14 @@
     def pause(self, state):
         """Stop reading the answer until ``resume``."""
         # The connection of a call that is over may carry another call by now.
-        if state.over:
+        if state.finished:
             return
         state.paused = True
         self._streams.pause(state.conn)
 
     def resume(self, state):
         """Continue to read a paused answer."""
-        if state.over or not state.paused:
+        if state.finished or not state.paused:
             return
         state.paused = False
         state.last_activity = time.monotonic()
@@ -210,7 +210,7 @@
             for item in self._active
         )
 
-    def count(self):
+    def count_active(self):
         """Return the number of calls in progress."""
         return len(self._active)
 
@@ -227,7 +227,7 @@
         """
         now = time.monotonic()
         for state in list(self._active):
-            if state.over or not self._is_silent(state, now):
+            if state.finished or not self._is_silent(state, now):
                 continue
             self.close_idle(state.call.address)
             probe = self._probes.get(state.call.address)
@@ -257,7 +257,7 @@
         )
         timeout = call.connect_timeout
         probe = Call(
-            call.address, *PROBE_REQUEST, {}, b"", timeout, timeout, fresh=True
+            call.address, *PROBE_REQUEST, {}, b"", timeout, timeout, new_connection=True
         )
         self._probes[call.address] = self.submit(probe, handlers)
 
@@ -276,15 +276,17 @@
         exc_type = PathSilent if answered else UpstreamSilent
         for state in [item for item in self._active if item.call.address == address]:
             # The callback for one failed call may have cancelled another call.
-            if state.over:
+            if state.finished:
                 continue
-            stale = not state.call.fresh and state.conn.last_activity < quiet_since
+            stale = (
+                not state.call.new_connection and state.conn.last_activity < quiet_since
+            )
             lost = answered and stale and not state.paused
             if lost or self._is_silent(state, now):
                 self._fail(state, "The connection has gone silent.", exc_type)
 
     def _pop_idle(self, call):
-        if call.fresh:
+        if call.new_connection:
             return None
         idle = self._idle.get(call.address, [])
         now = time.monotonic()
@@ -326,7 +328,7 @@
             self._fail_unhandled(state)
 
     def _fail_unhandled(self, state):
-        if not state.over:
+        if not state.finished:
             self._end(state)
             self._streams.drop(state.conn)
         state.handlers.failed(
@@ -341,9 +343,9 @@
         if not state.head_delivered and state.reader.head is not None:
             state.head_delivered = True
             state.handlers.head(*state.reader.head)
-        if body and not state.over:
+        if body and not state.finished:
             state.handlers.data(body)
-        if state.reader.complete and not state.over:
+        if state.reader.complete and not state.finished:
             self._release(state)
             state.handlers.done()
 
@@ -384,7 +386,7 @@
         if conn in idle:
             idle.remove(conn)
         state = conn.state
-        if state is None or state.over:
+        if state is None or state.finished:
             return
         ends_at_close = state.call.body_until_close and state.reader.until_close
         if exc is None and state.head_delivered and ends_at_close:
@@ -402,6 +404,6 @@
         state.handlers.failed(exc_type(detail, outcome=outcome))
 
     def _end(self, state):
-        state.over = True
+        state.finished = True
         state.conn.state = None
         self._active.discard(state)
--- a/src/chervilwing/dispatch.py
+++ b/src/chervilwing/dispatch.py
@@ -30,7 +30,7 @@
 from .scheduling import Scheduler, SchedulingSettings, Work
 from .sessions import Session
 from .stats import NO_CUSTOMER
-from .web import guard
+from .web import answer_failures
 from .work import CANCELLED, LEAVING
 
 SERVICES_PATH = "/services/"
@@ -101,7 +101,7 @@
 
     def serve(self, func, exchange):
         """Call ``func`` on the exchange; answer with the error that it raises."""
-        guard(func, self._record_refusal)(exchange)
+        answer_failures(func, self._record_refusal)(exchange)
         self.run_scheduler()
 
     def handle_disconnect(self, exchange):
--- a/src/chervilwing/documents.py
+++ b/src/chervilwing/documents.py
@@ -14,7 +14,7 @@
     INVENTORY,
     RULES,
     Shape,
-    fail,
+    raise_invalid,
     read_entry,
     read_name,
     to_plain,
@@ -33,7 +33,9 @@
 
 def _read_text(raw, path):
     if not isinstance(raw, str) or len(raw) > MAX_TEXT_LENGTH or not raw.isprintable():
-        fail(path, f"not a printable text of at most {MAX_TEXT_LENGTH} characters")
+        raise_invalid(
+            path, f"not a printable text of at most {MAX_TEXT_LENGTH} characters"
+        )
     return raw
 
 
@@ -71,7 +73,7 @@
     """Return the configuration as JSON; raise BadConfiguration over ``MAX_BYTES``."""
     text = json.dumps(to_plain(cfg), separators=(",", ":"))
     if len(text.encode()) > MAX_BYTES:
-        fail("configuration", f"larger than {MAX_BYTES} bytes")
+        raise_invalid("configuration", f"larger than {MAX_BYTES} bytes")
     return text
 
 
@@ -79,13 +81,13 @@
     try:
         return json.loads(text, object_pairs_hook=_reject_duplicate_keys)
     except (ValueError, TypeError, RecursionError) as exc:
-        fail("configuration", f"not JSON: {exc}")
+        raise_invalid("configuration", f"not JSON: {exc}")
 
 
 def _reject_duplicate_keys(pairs):
     table = dict(pairs)
     if len(table) != len(pairs):
-        fail("configuration", "a key occurs twice in one table")
+        raise_invalid("configuration", "a key occurs twice in one table")
     return table
 
 
@@ -114,7 +116,7 @@
     try:
         return tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as exc:
-        fail("file", f"not TOML: {exc}")
+        raise_invalid("file", f"not TOML: {exc}")
 
 
 def render_file(file):
--- a/src/chervilwing/embedded.py
+++ b/src/chervilwing/embedded.py
@@ -30,7 +30,7 @@
     Upstream,
     WorkClass,
 )
-from .web import EVENTS_TYPE, Web, WebHandlers, guard
+from .web import EVENTS_TYPE, Web, WebHandlers, answer_failures
 
 # Seconds between two tokens; callers are promised at most 63 ms.
 TOKEN_INTERVAL = 0.03
@@ -60,7 +60,9 @@
 
     def __init__(self, cfg, poller):
         super().__init__()
-        handlers = WebHandlers(guard(self._handle_request), self._handle_disconnect)
+        handlers = WebHandlers(
+            answer_failures(self._handle_request), self._handle_disconnect
+        )
         self._web = Web(cfg, poller, handlers, "embedded-store-web").register(self)
         self._values = {}
         self._versions = {}
@@ -214,7 +216,9 @@
 
     def __init__(self, cfg, poller):
         super().__init__()
-        handlers = WebHandlers(guard(self._handle_request), self._handle_disconnect)
+        handlers = WebHandlers(
+            answer_failures(self._handle_request), self._handle_disconnect
+        )
         self._web = Web(cfg, poller, handlers, "embedded-engine-web").register(self)
         self._generations: deque[_Generation] = deque()
         Timer(TOKEN_INTERVAL, token_due(), self.channel, persist=True).register(self)
@@ -289,7 +293,9 @@
 
     def __init__(self, cfg, poller):
         super().__init__()
-        handlers = WebHandlers(guard(self._handle_request), lambda exchange: None)
+        handlers = WebHandlers(
+            answer_failures(self._handle_request), lambda exchange: None
+        )
         self._web = Web(cfg, poller, handlers, "embedded-service-web").register(self)
 
     def listen(self):
--- a/src/chervilwing/forwards.py
+++ b/src/chervilwing/forwards.py
@@ -36,7 +36,7 @@
     @property
     def running(self):
         """Return whether an attempt is running."""
-        return self._call is not None and not self._call.over
+        return self._call is not None and not self._call.finished
 
     def start(self, upstream):
         """Start an attempt on this upstream."""
@@ -61,7 +61,7 @@
             req.body,
             cfg.connect_timeout,
             cfg.silence_timeout,
-            fresh=not session.target.idempotent,
+            new_connection=not session.target.idempotent,
         )
         handlers = CallHandlers(
             self._handle_headers,
--- a/src/chervilwing/gateway.py
+++ b/src/chervilwing/gateway.py
@@ -367,7 +367,7 @@
         if exc.retry_after is not None:
             seconds = exc.retry_after * self._rng.uniform(*RETRY_AFTER_JITTER)
             headers["Retry-After"] = self._dialect.format_retry_after(seconds)
-        exchange.refuse(exc, headers)
+        exchange.answer_problem(exc, headers)
 
     def _on_caller_left(self, exchange):
         """Cancel the request of a caller that has disconnected."""
--- a/src/chervilwing/gatewayd.py
+++ b/src/chervilwing/gatewayd.py
@@ -127,7 +127,7 @@
     def _serve(self, exchange):
         handle = PATH_HANDLERS.get(exchange.req.path)
         if handle is None:
-            exchange.refuse(NotFound())
+            exchange.answer_problem(NotFound())
             return
         handle(self, exchange)
 
--- a/src/chervilwing/generations.py
+++ b/src/chervilwing/generations.py
@@ -57,7 +57,7 @@
     @property
     def running(self):
         """Return whether an attempt is running."""
-        return self._call is not None and not self._call.over
+        return self._call is not None and not self._call.finished
 
     def start(self, upstream):
         """Start an attempt on this upstream."""
--- a/src/chervilwing/held.py
+++ b/src/chervilwing/held.py
@@ -4,7 +4,7 @@
 class NullExchange:
     """Stand in for the exchange of a caller that has disconnected."""
 
-    started = gone = finished = congested = False
+    started = disconnected = finished = congested = False
     on_drain = tag = None
 
     def start(self, status, content_type, headers=None):
@@ -19,7 +19,7 @@
     def answer_json(self, status, value, headers=None):
         """Do nothing."""
 
-    def refuse(self, exc, headers=None):
+    def answer_problem(self, exc, headers=None):
         """Do nothing."""
 
     def abort(self):
--- a/src/chervilwing/sessions.py
+++ b/src/chervilwing/sessions.py
@@ -115,7 +115,7 @@
         # If an attempt is still running, its answer settles the claim instead.
         if self.claimant is not None and not self.run.running:
             self.claimant.record_failure(self, exc)
-        self.exchange.refuse(exc, self.headers)
+        self.exchange.answer_problem(exc, self.headers)
         self.close()
 
     def leave(self):
@@ -171,7 +171,7 @@
             return
         self.outcome = self.cause = HANDED_OVER
         exc = HandedOver("Send the same request again.", retry_after=1.0)
-        self.exchange.refuse(exc, self.headers)
+        self.exchange.answer_problem(exc, self.headers)
         self.close()
 
     def close(self):
--- a/src/chervilwing/shapes.py
+++ b/src/chervilwing/shapes.py
@@ -34,7 +34,7 @@
 ANY = "*"
 
 
-def fail(path, reason):
+def raise_invalid(path, reason):
     """Raise BadConfiguration with the key path and the reason."""
     raise BadConfiguration(f"{path}: {reason}")
 
@@ -44,7 +44,7 @@
 
     def read(raw, path):
         if not isinstance(raw, str) or not pattern.fullmatch(raw):
-            fail(path, f"{raw!r} is not {description}")
+            raise_invalid(path, f"{raw!r} is not {description}")
         return raw
 
     return read
@@ -55,7 +55,7 @@
 
     def read(raw, path):
         if raw not in values:
-            fail(path, f"{raw!r} is not one of {', '.join(values)}")
+            raise_invalid(path, f"{raw!r} is not one of {', '.join(values)}")
         return raw
 
     return read
@@ -66,7 +66,9 @@
 
     def read(raw, path):
         if type(raw) is not int or not minimum <= raw <= maximum:
-            fail(path, f"{raw!r} is not a whole number from {minimum} to {maximum}")
+            raise_invalid(
+                path, f"{raw!r} is not a whole number from {minimum} to {maximum}"
+            )
         return raw
 
     return read
@@ -77,7 +79,7 @@
 
     def read(raw, path):
         if type(raw) not in (int, float) or not isfinite(raw) or not 0 < raw <= maximum:
-            fail(path, f"{raw!r} is not a number above 0, up to {maximum}")
+            raise_invalid(path, f"{raw!r} is not a number above 0, up to {maximum}")
         return float(raw)
 
     return read
@@ -96,7 +98,7 @@
 
     def read(raw, path):
         if not isinstance(raw, list):
-            fail(path, "not a list")
+            raise_invalid(path, "not a list")
         return tuple(read_item(item, f"{path}[{i}]") for i, item in enumerate(raw))
 
     return read
@@ -107,7 +109,7 @@
 
     def read(raw, path):
         if not isinstance(raw, list):
-            fail(path, "not a list")
+            raise_invalid(path, "not a list")
         return tuple(
             read_entry(shape, item, _entry_path(item, path, i))
             for i, item in enumerate(raw)
@@ -125,20 +127,20 @@
 def read_flag(raw, path):
     """Return a raw value that must be a boolean."""
     if type(raw) is not bool:
-        fail(path, f"{raw!r} is neither true nor false")
+        raise_invalid(path, f"{raw!r} is neither true nor false")
     return raw
 
 
 def read_address(raw, path):
     """Return the Address of a HOST:PORT string; port 0 is an error."""
     if not isinstance(raw, str):
-        fail(path, f"{raw!r} is not HOST:PORT")
+        raise_invalid(path, f"{raw!r} is not HOST:PORT")
     try:
         address = parse_address(raw)
     except ValueError as exc:
-        fail(path, str(exc))
+        raise_invalid(path, str(exc))
     if address.port == 0:
-        fail(path, "port 0 can't be reached")
+        raise_invalid(path, "port 0 can't be reached")
     return address
 
 
@@ -260,11 +262,11 @@
 def read_entry(shape, raw, path):
     """Return an entry from plain data; raise BadConfiguration with the key path."""
     if not isinstance(raw, dict):
-        fail(path, "not a table")
+        raise_invalid(path, "not a table")
     prefix = f"{path}." if path else ""
     for key in raw:
         if key not in shape.readers:
-            fail(f"{prefix}{key}", "unknown key")
+            raise_invalid(f"{prefix}{key}", "unknown key")
     values = {}
     for key, read in shape.readers.items():
         if key in raw:
@@ -272,7 +274,7 @@
         elif key in shape.defaults:
             values[key] = shape.defaults[key]
         else:
-            fail(f"{prefix}{key}", "missing")
+            raise_invalid(f"{prefix}{key}", "missing")
     return shape.type(**values)
 
 
--- a/src/chervilwing/web.py
+++ b/src/chervilwing/web.py
@@ -47,7 +47,7 @@
     __slots__ = (
         "req",
         "started",
-        "gone",
+        "disconnected",
         "finished",
         "on_drain",
         "has_length",
@@ -60,7 +60,7 @@
         self.req = req
         self.started = False
         self.finished = False
-        self.gone = False
+        self.disconnected = False
         self.on_drain = None
         self.has_length = False
         self.tag = None
@@ -95,7 +95,7 @@
         body = json.dumps(value).encode() + b"\n"
         self.answer(status, body, JSON_TYPE, headers)
 
-    def refuse(self, exc, headers=None):
+    def answer_problem(self, exc, headers=None):
         """Send a failure as a problem document, or abort an answer already started."""
         if self.started:
             self.abort()
@@ -159,7 +159,7 @@
 
     def abort(self):
         """Close the connection; without its end the answer is visibly incomplete."""
-        if self.gone or self.finished:
+        if self.disconnected or self.finished:
             return
         self.finished = True
         self._web.drop(self._conn)
@@ -169,11 +169,11 @@
         return {"Connection": "keep-alive" if keep else "close"}
 
     def _write(self, data):
-        if not self.gone and not self.finished:
+        if not self.disconnected and not self.finished:
             self._web.send(self._conn, data)
 
     def _end(self):
-        if self.gone or self.finished:
+        if self.disconnected or self.finished:
             return
         self.finished = True
         self._web.end_exchange(self._conn, self.req.keep_alive)
@@ -335,7 +335,7 @@
 
     def _reject(self, conn, exc):
         conn.state.exchange = Exchange(UNREADABLE_REQUEST, self, conn)
-        conn.state.exchange.refuse(exc)
+        conn.state.exchange.answer_problem(exc)
 
     def _drained(self, conn):
         exchange = conn.state.exchange
@@ -363,7 +363,7 @@
         exchange = conn.state.exchange
         if exchange is None or exchange.finished:
             return
-        exchange.gone = True
+        exchange.disconnected = True
         self._callbacks.disconnected(exchange)
 
 
@@ -380,7 +380,7 @@
     """Take no action on a failure."""
 
 
-def guard(serve, on_failure=ignore):
+def answer_failures(serve, on_failure=ignore):
     """Return ``serve`` wrapped so that each failure is answered as a problem document.
 
     ``on_failure`` is called first. Exceptions that are no ChervilwingError are answered
@@ -392,10 +392,10 @@
             serve(exchange)
         except ChervilwingError as exc:
             on_failure(exchange, exc)
-            exchange.refuse(exc)
+            exchange.answer_problem(exc)
         except Exception:
             on_failure(exchange, ChervilwingError())
-            exchange.refuse(ChervilwingError())
+            exchange.answer_problem(ChervilwingError())
             raise
 
     return served
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -47,7 +47,7 @@
         replies = []
         submit_bounded(client, call, lambda *reply: replies.append(reply))
         loop.run_until(lambda: replies)
-        self.assertEqual((replies, client.count()), ([(0, b"")], 0))
+        self.assertEqual((replies, client.count_active()), ([(0, b"")], 0))
         return engine
 
     def test_a_cache_beyond_the_size_limit_is_dropped(self):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -237,7 +237,9 @@
         self.loop.run_until(lambda: all(item.finished for item in calls))
         silent.update(upstream.conns)
         second = self.submit(upstream.port, silence_timeout=60.0)
-        note = self.submit(upstream.port, "/note", silence_timeout=60.0, fresh=True)
+        note = self.submit(
+            upstream.port, "/note", silence_timeout=60.0, new_connection=True
+        )
         first = self.submit(upstream.port, silence_timeout=SILENCE_TIMEOUT)
         self.loop.run_until(lambda: first.finished and second.finished)
         self.check_failure(first, PathSilent, UNKNOWN)
