--- a/src/chervilwing/claimant.py
+++ b/src/chervilwing/claimant.py
@@ -9,8 +9,8 @@
 from .claims import ClaimGranted, ClaimRecorded, ClaimRefused, Ledger
 from .exceptions import NOT_RUN
 from .fingerprints import make_fingerprint
-from .heads import encode_problem
 from .messages import Forward, StoreCall
+from .response_heads import encode_problem
 from .segments import Ask, Outcome, Verdict
 from .web import JSON_TYPE, PROBLEM_TYPE
 
--- a/src/chervilwing/reconnects.py
+++ b/src/chervilwing/reconnects.py
@@ -35,7 +35,7 @@
     Undelivered,
     Unheld,
 )
-from .held import HeldRequests, NullExchange
+from .held_requests import HeldRequests, NullExchange
 from .logs import log_event
 from .messages import Forward
 
--- a/src/chervilwing/web.py
+++ b/src/chervilwing/web.py
@@ -8,8 +8,8 @@
 from circuits.core import BaseComponent, handler
 
 from .exceptions import ChervilwingError, SlowSender
-from .heads import encode_head, encode_problem
 from .parsers import RequestReader
+from .response_heads import encode_head, encode_problem
 from .sockets import StreamHandlers, Streams
 
 JSON_TYPE = "application/json"
