--- a/src/chervilwing/dispatch.py
+++ b/src/chervilwing/dispatch.py
@@ -29,8 +29,8 @@
 from .requests import estimate_size, has_caller_id, read_request_id
 from .scheduling import Scheduler, SchedulingSettings, Work
 from .sessions import Session
-from .stats import NOBODY
-from .web import guard
+from .stats import NO_CUSTOMER
+from .web import answer_failures
 from .work import CANCELLED, LEAVING
 
 SERVICES_PATH = "/services/"
@@ -101,7 +101,7 @@
 
     def serve(self, func, exchange):
         """Call ``func`` on the exchange; answer with the error that it raises."""
-        guard(func, self._record_refusal)(exchange)
+        answer_failures(func, self._record_refusal)(exchange)
         self.run_scheduler()
 
     def handle_disconnect(self, exchange):
@@ -116,10 +116,21 @@
         # not counted as refusals of callers.
         if exchange.req.path.startswith(ADMIN_PATH):
             return
-        self.stats.select(NOBODY, NOBODY).record_outcome(exc.outcome, exc.type)
+        self.stats.select(NO_CUSTOMER, NO_CUSTOMER).record_outcome(
+            exc.outcome, exc.type
+        )
         log_request(
             RequestLine(
-                "", NOBODY, NOBODY, "", 0, 0, 0, exc.outcome, exc.type, exc.status
+                "",
+                NO_CUSTOMER,
+                NO_CUSTOMER,
+                "",
+                0,
+                0,
+                0,
+                exc.outcome,
+                exc.type,
+                exc.status,
             )
         )
 
@@ -140,11 +151,11 @@
     def retry(self, session, exc, outcome):
         """Queue a request again after a failed attempt, or refuse it."""
         now = time.monotonic()
-        name, rule = session.upstream.name, retries.RULES[outcome]
+        name, rule = session.upstream.name, retries.RETRY_RULES[outcome]
         work = session.work._replace(tokens=session.tokens)
         refusal = self.scheduler.retry(work, name, outcome, now)
         if refusal is None:
-            session.work = retries.count_attempt(rule, work, name)
+            session.work = retries.with_counted_attempt(rule, work, name)
             self.run_scheduler()
             return
         # An attempt that may have run is reported with its own error. One that did not
@@ -334,9 +345,11 @@
 
     def _queue_accepted(self, session):
         """Queue an accepted request ahead of all new work; return a refusal or None."""
-        keeper = session.cache_engine
-        work = session.work._replace(tokens=session.tokens, keeper=keeper)
-        session.work = retries.count_attempt(retries.RULES[LEAVING], work, "")
+        cache_engine = session.cache_engine
+        work = session.work._replace(tokens=session.tokens, cache_engine=cache_engine)
+        session.work = retries.with_counted_attempt(
+            retries.RETRY_RULES[LEAVING], work, ""
+        )
         return self.scheduler.retry(work, "", LEAVING, time.monotonic())
 
     def _forward(self, exchange):
--- a/src/chervilwing/orderer.py
+++ b/src/chervilwing/orderer.py
@@ -24,9 +24,9 @@
     OrderRefused,
     OrderSend,
     OrderSettings,
-    name_order,
+    make_order_id,
 )
-from .stores import JSON_HEADERS, collect_json
+from .stores import JSON_HEADERS, collect_json_response
 
 ORDERS_PATH = "/v1/orders"
 STATUS_OK = 200
@@ -114,7 +114,7 @@
         may_unload = now - self._revision_since > UNLOAD_DELAY
         wanted = self._wanted_models[pool]
         for order in rollout.plan(wanted, engines, max_loads, may_unload, now):
-            order_id = name_order(self._revision, order)
+            order_id = make_order_id(self._revision, order)
             rollout.record_sent(order_id, order, now)
             self._run_actions(pool, holder.order(order_id, order, now))
 
@@ -132,7 +132,7 @@
             ACTION_HANDLERS[type(action)](self, pool, action)
 
     def _call_store(self, pool, action):
-        self._store.carry(action, partial(self._on_store_reply, pool))
+        self._store.send_call(action, partial(self._on_store_reply, pool))
 
     def _on_store_reply(self, pool, token, reply):
         holder = self._holders[pool]
@@ -160,7 +160,7 @@
             send_before=action.send_before,
         )
         on_answer = partial(self._on_engine_answer, pool, action.order_id)
-        self._client.submit(call, collect_json(on_answer))
+        self._client.submit(call, collect_json_response(on_answer))
 
     def _on_engine_answer(self, pool, order_id, status, value):
         self._unanswered.discard(order_id)
--- a/src/chervilwing/sessions.py
+++ b/src/chervilwing/sessions.py
@@ -115,8 +115,8 @@
         self.cause = exc.type
         # If an attempt is still running, its answer settles the claim instead.
         if self.claimant is not None and not self.run.running:
-            self.claimant.fail(self, exc)
-        self.exchange.refuse(exc, self.headers)
+            self.claimant.record_failure(self, exc)
+        self.exchange.answer_problem(exc, self.headers)
         self.close()
 
     def leave(self):
@@ -172,7 +172,7 @@
             return
         self.outcome = self.cause = HANDED_OVER
         exc = HandedOver("Send the same request again.", retry_after=1.0)
-        self.exchange.refuse(exc, self.headers)
+        self.exchange.answer_problem(exc, self.headers)
         self.close()
 
     def close(self):
--- a/tests/world.py
+++ b/tests/world.py
@@ -314,7 +314,7 @@
 
     def _on_granted(self, action):
         call = self.calls[action.operation]
-        if not self.ledger.may_start(action.operation, self.world.now):
+        if not self.ledger.may_send(action.operation, self.world.now):
             return
         # The process may be paused after this check and before it sends the request.
         self._apply_pause()
@@ -498,7 +498,7 @@
         """Order an instance to load a model on an engine."""
         node = self.nodes[name]
         order = o.Order("load", self.engines[engine], model)
-        args = o.name_order(1, order), order
+        args = o.make_order_id(1, order), order
         node.run(node.boot_count, node.call_core, node.holder, "order", *args)
 
     def add_engine(self, name, zone, fenced=True):
