--- a/src/chervilwing/settings.py
+++ b/src/chervilwing/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the entry daemon: one table drives parsing, checks, help and docs."""
+"""Settings of the entry daemon; one table defines parsing, checks, help and docs."""
 
 import argparse
 import re
@@ -19,8 +19,8 @@
 LOG_FORMATS = ("json", "text")
 LOG_LEVELS = ("debug", "info", "warning", "error")
 MIB = 1024 * 1024
-DIGEST = re.compile(r"[0-9a-f]{64}", re.ASCII)
-# Variables of the operators' tool, which may stand in the same environment.
+DIGEST_PATTERN = re.compile(r"[0-9a-f]{64}", re.ASCII)
+# Variables of the operators' tool, which may be set in the same environment.
 TOOL_VARIABLES = frozenset({PREFIX + "INSTANCES", PREFIX + "OPERATOR_KEY"})
 
 
@@ -61,7 +61,7 @@
 
 
 class Field(NamedTuple):
-    """One setting: its name, form, default as text, unit or form, and meaning."""
+    """One setting: its name, parser, default as text, unit or format, and meaning."""
 
     name: str
     parse: Callable[[str], Any]
@@ -71,7 +71,7 @@
 
     @property
     def flag(self):
-        """Return the name of the flag."""
+        """Return the command-line flag."""
         return "--" + self.name.replace("_", "-")
 
     @property
@@ -81,19 +81,19 @@
 
 
 def parse_optional_address(text):
-    """Return an Address, or None for an empty text."""
+    """Return an Address, or None for empty text."""
     return parse_address(text) if text else None
 
 
 def parse_addresses(text):
-    """Return the Addresses of a comma list."""
+    """Return the Addresses of a comma-separated list."""
     return tuple(
         parse_address(part.strip()) for part in text.split(",") if part.strip()
     )
 
 
 def parse_name(text):
-    """Return a name that is safe in keys, headers and log lines."""
+    """Return a name that is valid in store keys, header fields and log lines."""
     if not text or len(text) > 64 or not text.isascii():
         raise ValueError(f"{text!r} is not a name of 1 to 64 ASCII characters")
     if not all(char.isalnum() or char in "-_." for char in text):
@@ -102,19 +102,19 @@
 
 
 def parse_optional_name(text):
-    """Return a name, or an empty text."""
+    """Return a valid name, or empty text."""
     return parse_name(text) if text else ""
 
 
 def parse_digest(text):
-    """Return a SHA-256 digest in small hex, or an empty text."""
-    if text and not DIGEST.fullmatch(text):
-        raise ValueError("not a SHA-256 digest in small hex")
+    """Return a SHA-256 digest in lower-case hex, or empty text."""
+    if text and not DIGEST_PATTERN.fullmatch(text):
+        raise ValueError("not a SHA-256 digest in lower-case hex")
     return text
 
 
 def parse_flag(text):
-    """Return True or False for the usual words."""
+    """Return True or False for words such as ``yes`` or ``off``."""
     word = text.lower()
     if word in TRUE_WORDS | FALSE_WORDS:
         return word in TRUE_WORDS
@@ -140,7 +140,7 @@
 
 
 def one_of(choices):
-    """Return a parser that takes only the given words."""
+    """Return a parser that accepts only the given choices."""
 
     def parse(text):
         if text not in choices:
@@ -151,23 +151,33 @@
 
 
 FIELDS = (
-    Field("listen", parse_address, "127.0.0.1:8080", "HOST:PORT", "for callers"),
+    Field(
+        "listen",
+        parse_address,
+        "127.0.0.1:8080",
+        "HOST:PORT",
+        "address that accepts callers",
+    ),
     Field(
         "peer_listen",
         parse_address,
         "127.0.0.1:8081",
         "HOST:PORT",
-        "for entry instances",
+        "address that accepts entry instances",
     ),
     Field(
         "peer_address",
         parse_optional_address,
         "",
         "HOST:PORT",
-        "that entry instances dial; that of peer_listen if empty",
+        "address that entry instances connect to; --peer-listen if empty",
     ),
     Field(
-        "peers", parse_addresses, "", "HOST:PORT,...", "entry instances to join first"
+        "peers",
+        parse_addresses,
+        "",
+        "HOST:PORT,...",
+        "addresses of entry instances to join at the start",
     ),
     Field("data_centre", parse_name, "local", "name", "where this instance runs"),
     Field("region", parse_name, "local", "name", "region of the data centre"),
@@ -176,48 +186,91 @@
         parse_optional_name,
         "",
         "name",
-        "this instance; made from listen if empty",
+        "instance name; derived from --data-centre and --listen if empty",
     ),
     Field("store", parse_optional_address, "", "HOST:PORT", "key-value service"),
-    Field("cloud", parse_optional_address, "", "HOST:PORT", "cloud API with notices"),
+    Field(
+        "cloud",
+        parse_optional_address,
+        "",
+        "HOST:PORT",
+        "cloud API with reclaim notices",
+    ),
     Field("instance_list", parse_optional_address, "", "HOST:PORT", "instance list"),
     Field(
-        "embedded", parse_flag, "false", "true|false", "run stand-ins in the process"
+        "embedded",
+        parse_flag,
+        "false",
+        "true|false",
+        "simulate the other services in this process",
     ),
     Field("log_format", one_of(LOG_FORMATS), "json", "json|text", "form of log lines"),
-    Field("log_level", one_of(LOG_LEVELS), "info", "|".join(LOG_LEVELS), "least level"),
+    Field(
+        "log_level",
+        one_of(LOG_LEVELS),
+        "info",
+        "|".join(LOG_LEVELS),
+        "lowest level that is logged",
+    ),
     Field("body_limit", parse_count, str(4 * MIB), "bytes", "largest request body"),
     Field("head_limit", parse_count, "16384", "bytes", "largest request head"),
-    Field("head_timeout", parse_seconds, "10", "s", "for a caller to send its request"),
     Field(
-        "idle_timeout", parse_seconds, "75", "s", "until an unused connection closes"
+        "head_timeout",
+        parse_seconds,
+        "10",
+        "s",
+        "maximum time for a caller to send its request",
+    ),
+    Field(
+        "idle_timeout",
+        parse_seconds,
+        "75",
+        "s",
+        "time until an unused connection is closed",
+    ),
+    Field(
+        "connect_timeout", parse_seconds, "1", "s", "maximum time to open a connection"
+    ),
+    Field(
+        "silence_timeout",
+        parse_seconds,
+        "10",
+        "s",
+        "time until a call to a silent upstream fails",
+    ),
+    Field(
+        "request_timeout", parse_seconds, "120", "s", "maximum time for a whole request"
+    ),
+    Field(
+        "drain_timeout", parse_seconds, "150", "s", "maximum time for a planned stop"
     ),
-    Field("connect_timeout", parse_seconds, "1", "s", "to open a connection"),
     Field(
-        "silence_timeout", parse_seconds, "10", "s", "without a byte from an upstream"
+        "drain_lag",
+        parse_seconds,
+        "5",
+        "s",
+        "time until the load balancer notices a stop",
     ),
-    Field("request_timeout", parse_seconds, "120", "s", "for a whole request"),
-    Field("drain_timeout", parse_seconds, "150", "s", "for a planned stop"),
-    Field("drain_lag", parse_seconds, "5", "s", "that the balancer may lag at a stop"),
-    # Load: callers that give up look the same as callers that come back. Harm: each
-    # second is an engine's slot that may write for nobody; a client that reconnects
-    # does so within a second or two.
+    # Callers that give up can't be distinguished from those that will reconnect, and a
+    # request that keeps running may occupy an engine's slot for nobody. A client that
+    # reconnects does so within a second or two.
     Field(
         "reconnect_grace",
         parse_seconds,
         "5",
         "s",
-        "that a request runs on after its caller's connection broke",
+        "time that a request runs on after its caller's connection broke",
     ),
-    # A caller whose entry instance went away first waits for its balancer.
+    # If a caller's entry instance fails, the caller can reconnect only once its load
+    # balancer has noticed the failure.
     Field(
         "reconnect_keep",
         parse_seconds,
         "30",
         "s",
-        "that an answer is kept for its caller to come back",
+        "time that an answer is kept for its caller to reconnect",
     ),
-    # An eighth of the 128 MB that a node has for control (letter 1).
+    # An eighth of the 128 MB that a node has for the control plane.
     Field(
         "reconnect_bytes",
         parse_count,
@@ -225,22 +278,47 @@
         "bytes",
         "largest size of all answers kept",
     ),
-    Field("store_timeout", parse_seconds, "2", "s", "for a key-value call"),
-    Field("watch_wait", parse_seconds, "30", "s", "that one watch waits"),
-    Field("default_class", parse_name, "standard", "name", "class of unclassed work"),
     Field(
-        "stats_pairs", parse_count, "64", "count", "customer and class pairs kept apart"
+        "store_timeout",
+        parse_seconds,
+        "2",
+        "s",
+        "maximum time for a call to the key-value service",
+    ),
+    Field("watch_wait", parse_seconds, "30", "s", "maximum time for one watch call"),
+    Field(
+        "default_class",
+        parse_name,
+        "standard",
+        "name",
+        "work class if none is configured",
+    ),
+    Field(
+        "stats_pairs",
+        parse_count,
+        "64",
+        "count",
+        "customer and class pairs with own statistics",
+    ),
+    # When all engines of a data centre load a new version, the loads share the weight
+    # store's rate and would all finish late. With two at once, one can read while the
+    # other fills its accelerator.
+    Field(
+        "loads_at_once",
+        parse_count,
+        "2",
+        "count",
+        "model loads at the same time in a data centre",
+    ),
+    Field(
+        "operator_key_hash", parse_digest, "", "digest", "SHA-256 of the operators' key"
     ),
-    # Load: a new version for all engines of a data centre. Harm: loads that share the
-    # weight store's rate all end late. While one reads, another fills its accelerator.
-    Field("loads_at_once", parse_count, "2", "count", "model loads in a data centre"),
-    Field("operator_key_hash", parse_digest, "", "digest", "SHA-256 of operators' key"),
 )
-FIELD_OF = {field.name: field for field in FIELDS}
+FIELDS_BY_NAME = {field.name: field for field in FIELDS}
 
 
 class Program(NamedTuple):
-    """A daemon, as its help names it, and its settings."""
+    """A daemon: its name and purpose in the help text, and its settings."""
 
     name: str
     purpose: str
@@ -248,7 +326,7 @@
 
 
 ENTRY = Program(
-    "chervilwingd", "Entry daemon before model engines and plain services.", FIELDS
+    "chervilwingd", "Entry daemon in front of model engines and plain services.", FIELDS
 )
 
 
@@ -258,7 +336,7 @@
 
 
 def build_parser(program):
-    """Return the parser of a program's flags; a fault raises BadSetting."""
+    """Return the parser of a program's flags, which raises BadSetting on errors."""
     parser = _Parser(
         prog=program.name,
         description=program.purpose,
@@ -267,12 +345,14 @@
         allow_abbrev=False,
     )
     for field in program.fields:
-        bare = {"nargs": "?", "const": "true"} if field.parse is parse_flag else {}
+        value_options = (
+            {"nargs": "?", "const": "true"} if field.parse is parse_flag else {}
+        )
         parser.add_argument(
             field.flag,
             metavar=field.form,
             help=f"{field.help} [{field.default or 'none'}]",
-            **bare,
+            **value_options,
         )
     parser.add_argument("-h", "--help", action="store_true", help="print this text")
     return parser
@@ -281,22 +361,22 @@
 def read_settings(argv, environ) -> Result[Settings, BadSetting]:
     """Return checked settings from flags and ``CHERVILWING_*`` variables.
 
-    ``argv`` is without the program's name. A flag goes before its variable, and a
-    variable before the default. Unknown flags and unknown variables of our prefix are
-    refused, so that a misspelt limit doesn't leave the default in force unseen.
+    ``argv`` excludes the program's name. A flag overrides its variable, and a variable
+    overrides the default. Unknown flags and unknown ``CHERVILWING_*`` variables are
+    rejected, so that a misspelt limit doesn't silently leave the default in force.
     """
     try:
         flags = vars(build_parser(ENTRY).parse_args(list(argv)))
-        _refuse_unknown(environ)
+        _reject_unknown(environ)
         values = {field.name: read_field(field, flags, environ) for field in FIELDS}
         cfg = Settings(**values)
-        _check_together(cfg)
+        _check_combinations(cfg)
     except BadSetting as exc:
         return Failure(exc)
-    return Success(_name_instance(cfg))
+    return Success(_fill_in_name(cfg))
 
 
-def _refuse_unknown(environ):
+def _reject_unknown(environ):
     known = {field.variable for field in FIELDS} | TOOL_VARIABLES
     for variable in sorted(environ):
         if variable.startswith(PREFIX) and variable not in known:
@@ -304,7 +384,7 @@
 
 
 def read_field(field, flags, environ):
-    """Return one setting, or raise a BadSetting that names where it was given."""
+    """Return one setting, or raise a BadSetting that names its flag or variable."""
     text, source = flags[field.name], field.flag
     if text is None and field.variable in environ:
         text, source = environ[field.variable], field.variable
@@ -316,8 +396,8 @@
         raise BadSetting(f"{source}: {exc}") from None
 
 
-# Each row: what must hold, the setting to name, and why.
-CHECKS = (
+# Each row: a condition, the setting to report when it is false, and the reason.
+COMBINATION_CHECKS = (
     (
         lambda cfg: cfg.embedded or cfg.store is not None,
         "store",
@@ -328,13 +408,13 @@
         "silence_timeout",
         "longer than --request-timeout, so it would never act",
     ),
-    # A stop that ends before the longest request would cut it (brief, "What must
-    # always hold": a planned stop cuts no request in flight). The last request may come
-    # at the end of the balancer's lag.
+    # A planned stop must not interrupt any request in flight, and the last request may
+    # arrive at the end of the load balancer's lag.
     (
         lambda cfg: cfg.drain_timeout >= cfg.request_timeout + cfg.drain_lag,
         "drain_timeout",
-        "shorter than --request-timeout and --drain-lag, so a stop would cut requests",
+        "shorter than --request-timeout plus --drain-lag, "
+        "so a stop would interrupt requests",
     ),
     (
         lambda cfg: cfg.peer_listen != cfg.listen or cfg.listen.port == 0,
@@ -344,13 +424,13 @@
 )
 
 
-def _check_together(cfg):
-    for holds, name, reason in CHECKS:
-        if not holds(cfg):
-            raise BadSetting(f"{FIELD_OF[name].flag}: {reason}")
+def _check_combinations(cfg):
+    for is_valid, name, reason in COMBINATION_CHECKS:
+        if not is_valid(cfg):
+            raise BadSetting(f"{FIELDS_BY_NAME[name].flag}: {reason}")
 
 
-def _name_instance(cfg):
+def _fill_in_name(cfg):
     if cfg.name:
         return cfg
     host = cfg.listen.host.replace(":", ".")
@@ -358,7 +438,7 @@
 
 
 def render_help(program=ENTRY):
-    """Return the text for ``--help``."""
+    """Return the text printed for ``--help``."""
     return build_parser(program).format_help()
 
 
@@ -374,8 +454,8 @@
 
 
 def describe(cfg):
-    """Return the settings as plain values, for the log line at the start."""
-    # The digest of a key that is too short can be searched through by who reads logs.
+    """Return the settings as plain values, for the log line at startup."""
+    # A reader of the logs could find a short key from its digest by exhaustive search.
     cfg = cfg._replace(operator_key_hash="set" if cfg.operator_key_hash else "")
     return {name: _to_plain(value) for name, value in cfg._asdict().items()}
 
--- a/tests/weakened.py
+++ b/tests/weakened.py
@@ -306,7 +306,7 @@
     Weakness(
         "an edit without an answer called not run",
         (Edit("edits", "self.in_doubt or self.state == WRITING", "False"),),
-        (EDITS + "no_answer_at_all_says_what_is_known",),
+        (EDITS + "an_unanswered_edit_reports_whether_it_may_be_stored",),
     ),
     Weakness(
         "an edit's own id not looked for in history",
@@ -320,8 +320,8 @@
 NO_PROBE = (
     Edit(
         "connections",
-        "self._probe(exchange.call, now)",
-        'self._fail(exchange, "Silent.", UpstreamSilent)',
+        "self._probe(state.call, now)",
+        'self._fail(state, "Silent.", UpstreamSilent)',
     ),
 )
 NO_RETRY = (
--- a/tests/weakened_gateway.py
+++ b/tests/weakened_gateway.py
@@ -11,12 +11,12 @@
 MIRROR = "tests.test_mirrors.TestMirror.test_"
 NEWS = "tests.test_mirrors.TestNews.test_"
 FANOUT = "tests.test_fanout.TestFanout.test_"
-TENURE = "tests.test_tenures.TestTenure.test_"
+TENURE = "tests.test_tenures.TestDutyLease.test_"
 CREDIT = "tests.test_allowances.TestCredit.test_"
 PARTITIONS = "tests.test_allowances.TestPartitions.test_"
 MODEL = "tests.test_allowances_model.TestBound.test_"
 WATCHERS = "tests.test_store_watchers.TestWatchers.test_"
-TALLY = "tests.test_tallies.TestTally.test_"
+TALLY = "tests.test_tallies.TestReportSums.test_"
 SIZING = "tests.test_sizing.TestSizing.test_"
 PLACING = "tests.test_placing_model.TestPlacingModel.test_"
 LOADS = "tests.test_old_loads.TestOldLoads.test_"
@@ -25,13 +25,15 @@
 CRASHING = "tests.test_crashing_requests.TestOneInstance.test_a_crashing_"
 NO_CRASH = "tests.test_crashing_requests.TestNoCrash.test_"
 
-CHANGED = "self.as_of = max(self.as_of, sent)"
+CHANGED = "self.as_of = max(self.as_of, sent_at)"
 CROSSED = "[item for item in items if item.revision > self.revision]"
-BACK = "if self._acted_fence != self._fence and now < self._acted + self._ttl:"
-STALE = "if not route.open and not self._knows_keys():"
+BACK = "if self._last_act_fence != self._fence and now < self._last_act_at + self._ttl:"
+STALE = "if not route.open and not self._keys_are_fresh():"
 PROBE_ANSWERED = """            self._dismiss(suspicions)
         self._streams.drop(conn)"""
-ADMITTED = "return account is None or self._allowances.charge(account, REQUEST, now)"
+ADMITTED = (
+    "return account is None or self._allowances.charge(account, REQUEST_COST, now)"
+)
 LIMITED = "tests.test_limited_upstreams.TestOneInstance.test_"
 LIMITED_MODEL = "tests.test_limited_upstreams_model.TestCalm.test_"
 PIECE = "data = relay.events.feed(data)"
@@ -41,17 +43,24 @@
         "an upstream's limit is not looked at",
         (Edit("upstream_limits", ADMITTED, "return True"),),
         (
-            LIMITED + "an_upstream_gets_the_limit_it_names_and_the_others_the_rest",
+            LIMITED + "an_upstream_gets_its_limit_and_the_others_the_rest",
             LIMITED + "retries_count_towards_the_limit",
             LIMITED + "resumed_streams_count_towards_the_limit",
         ),
     ),
     Weakness(
         "a limit is told to nobody",
-        (Edit("upstream_limits", "for upstream, rate, age in told:", "for _ in ():"),),
         (
-            "tests.test_upstream_limits.TestBelief.test_others_believe_the_latest",
-            LIMITED_MODEL + "a_limit_is_held_and_used_by_few_instances",
+            Edit(
+                "upstream_limits",
+                "for upstream, rate, age in reported:",
+                "for _ in ():",
+            ),
+        ),
+        (
+            "tests.test_upstream_limits.TestCurrentLimit"
+            ".test_instances_use_the_newest_report",
+            LIMITED_MODEL + "few_instances_meet_and_use_a_limit",
         ),
     ),
     Weakness(
@@ -59,17 +68,17 @@
         (
             Edit(
                 "allowances",
-                "gained = holding.rate * passed / self._known",
-                "gained = holding.rate * passed",
+                "accrued = bucket.rate * elapsed / self._instance_count",
+                "accrued = bucket.rate * elapsed",
             ),
         ),
-        (LIMITED_MODEL + "a_limit_is_held_and_used_by_few_instances",),
+        (LIMITED_MODEL + "few_instances_meet_and_use_a_limit",),
     ),
     Weakness(
         "an answer that was overtaken ends a limit",
         (Edit("upstream_limits", "NamedLimit(inf, sent_at)", "NamedLimit(inf, now)"),),
         (
-            "tests.test_upstream_limits.TestBelief"
+            "tests.test_upstream_limits.TestCurrentLimit"
             ".test_an_older_answer_without_a_limit_does_not_end_it",
         ),
     ),
@@ -77,15 +86,15 @@
         "a barred request is sent",
         (Edit("crashes", "if self.is_barred(fingerprint, now):", "if False:"),),
         (
-            CRASHES + "Counting.test_a_request_is_barred_after_three_upstreams_and_"
-            "told_until_when",
-            CRASHING + "request_that_may_run_once_ends_three_upstreams_at_most",
+            CRASHES + "Counting"
+            ".test_a_request_is_barred_after_three_crashes_for_a_known_time",
+            CRASHING + "request_that_may_run_once_crashes_three_upstreams",
         ),
     ),
     Weakness(
         "a crash counts only once it is proved",
         (Edit("crashes", "State.ASSUMED, State.PROVED)", "State.PROVED,)"),),
-        (CRASHING + "request_that_is_retried_here_ends_three_upstreams_at_most",),
+        (CRASHING + "request_that_is_retried_crashes_three_upstreams",),
     ),
     Weakness(
         "a broken connection proves a crash",
@@ -96,16 +105,20 @@
                 PROBE_ANSWERED.replace("dismiss(", "prove(probe.upstream, "),
             ),
         ),
-        (NO_CRASH + "a_connection_that_is_reset_bars_nobody",),
+        (NO_CRASH + "a_reset_connection_bars_no_request",),
     ),
     Weakness(
         "an upstream that answers has crashed all the same",
-        (Edit("crashes", "self._absolve(upstream, sent_at, now)", "pass"),),
+        (Edit("crashes", "self._withdraw_crash(upstream, sent_at, now)", "pass"),),
         (NO_CRASH + "an_upstream_that_answers_again_had_not_crashed",),
     ),
     Weakness(
         "an upstream that refuses connections has crashed whatever goes on there",
-        (Edit("crash_watch", "if isinstance(exc, REFUSED) and alone:", "if exc:"),),
+        (
+            Edit(
+                "crash_watch", "if isinstance(exc, REFUSED) and unconnected:", "if exc:"
+            ),
+        ),
         (
             NO_CRASH + "an_upstream_that_is_full_and_refuses_connections_has_not_"
             "crashed",
@@ -126,57 +139,54 @@
         "the word of an answer takes later crashes back",
         (Edit("crashes", "if crash is None or crash.at >= at:", "if crash is None:"),),
         (
-            CRASHES + "UpstreamsThatGoOn.test_what_was_said_of_an_answer_takes_no_"
-            "later_crash_back",
+            CRASHES + "RunningUpstreams"
+            ".test_an_old_report_of_an_answer_does_not_withdraw_a_later_crash",
         ),
     ),
     Weakness(
-        "one without the store drops what it knows",
-        (Edit("mirrors", "self._lacking = True", "self._list_anew()"),),
-        (NEWS + "one_without_the_store_keeps_what_it_knows_for_those_who_know_more",),
+        "unusable news drop the items",
+        (Edit("mirrors", "self._must_list = True", "self._restart_listing()"),),
+        (NEWS + "unusable_news_leave_the_items_unchanged",),
     ),
     Weakness(
-        "a helper that can't tell it all is asked on and on",
-        (Edit("neighbours", " or not self._is_of_use(news)", ""),),
-        (WATCHERS + "one_without_the_store_leaves_a_helper_that_cannot_tell_it_all",),
+        "a fallback with incomplete news is queried on",
+        (Edit("neighbours", " or not self._is_sufficient(news)", ""),),
+        (WATCHERS + "fallback_with_incomplete_news_is_left",),
     ),
     Weakness(
         "a leaving upstream's end is a crash",
         (Edit("crash_watch", "elif not registration.leaving:", "else:"),),
-        (NO_CRASH + "an_upstream_that_leaves_ends_what_it_runs_without_blame",),
+        (NO_CRASH + "requests_at_a_leaving_upstream_are_not_suspected",),
     ),
     Weakness(
         "whose caller left is forgotten",
         (Edit("crash_watch", "if item.upstream == name and", "if False and"),),
-        (
-            NO_CRASH + "a_caller_who_left_before_the_crash_is_found_out_by_the_"
-            "registration",
-        ),
+        (NO_CRASH + "a_crash_after_the_caller_left_is_detected_by_the_registration",),
     ),
     Weakness(
         "crashes under one name count once",
         (Edit("crash_watch", 'return f"{name}#{count}" if count', "return name if 1"),),
-        (NO_CRASH + "an_upstream_that_keeps_its_name_counts_at_each_crash",),
+        (NO_CRASH + "each_crash_of_an_upstream_that_keeps_its_name_counts",),
     ),
     Weakness(
         "an answer clears nobody",
-        (Edit("crashes", "self._withdraw(fingerprint, now)\n\n", "pass\n\n"),),
+        (Edit("crashes", "self._withdraw_request(fingerprint, now)\n\n", "pass\n\n"),),
         (
-            CRASHES + "Clearing.test_a_request_that_is_answered_is_cleared_and_old_"
-            "words_change_nothing",
-            NO_CRASH + "requests_beside_a_crashing_one_are_cleared_by_an_answer",
+            CRASHES + "Clearing"
+            ".test_an_answered_request_is_cleared_despite_old_reports",
+            NO_CRASH + "harmless_requests_at_a_crash_are_cleared_by_an_answer",
         ),
     ),
     Weakness(
         "what was just answered is suspected",
-        (Edit("crashes", "< ANSWERED_FOR", "< 0.0"),),
+        (Edit("crashes", "< EXEMPT_FOR", "< 0.0"),),
         (
             "tests.test_crashes_model.TestCrashingRequests."
-            "test_what_many_ask_for_is_not_refused_beside_a_crashing_request",
+            "test_a_popular_request_is_not_refused_because_of_a_crashing_one",
         ),
     ),
     Weakness(
-        "what may have run is sent again",
+        "a non-idempotent request that may have run is sent again",
         (
             Edit(
                 "attempts",
@@ -184,12 +194,12 @@
                 "if False:",
             ),
         ),
-        (FAILURES + "what_may_have_run_is_never_sent_twice_nor_called_unrun",),
+        (FAILURES + "a_non_idempotent_request_that_may_have_run_is_not_retried",),
     ),
     Weakness(
-        "a failure without a send keeps its status",
-        (Edit("attempts", "if exc.status not in PROMISES:", "if False:"),),
-        (FAILURES + "what_reached_nobody_is_called_not_run",),
+        "an unsent request is refused without the status for not run",
+        (Edit("attempts", "if exc.status not in NOT_RUN_STATUSES:", "if False:"),),
+        (FAILURES + "a_request_that_reached_no_upstream_is_reported_as_not_run",),
     ),
     Weakness(
         "an answer to an earlier request is taken",
@@ -200,37 +210,41 @@
                 "return False",
             ),
         ),
-        (FAILURES + "the_answer_to_an_earlier_request_is_passed_over",),
+        (FAILURES + "an_answer_to_an_earlier_request_is_discarded",),
     ),
     Weakness(
-        "any success is the upstream's own",
-        (Edit("attempts", "if not verdict.sound:", "if False:"),),
-        (FAILURES + "an_unsigned_success_is_not_the_upstreams_answer",),
+        "a success without the upstream's signature is accepted",
+        (Edit("attempts", "if not verdict.authentic:", "if False:"),),
+        (FAILURES + "a_success_without_the_upstreams_signature_is_not_relayed",),
     ),
     Weakness(
-        "a failure goes on with a stream",
-        (Edit("attempts", "if relay.exchange.started and not streams:", "if False:"),),
-        (STREAMS + "a_failure_never_stands_in_the_middle_of_a_stream",),
+        "an error body is relayed in the middle of a stream",
+        (
+            Edit(
+                "attempts", "if relay.exchange.started and not is_stream:", "if False:"
+            ),
+        ),
+        (STREAMS + "an_error_body_is_never_inserted_into_a_stream",),
     ),
     Weakness(
-        "half an event is passed on",
+        "incomplete events are relayed",
         (
             Edit(
                 "attempts", "data = relay.events.feed(data)", "relay.events.feed(data)"
             ),
         ),
-        (STREAMS + "a_stream_goes_on_elsewhere_at_the_next_whole_event",),
+        (STREAMS + "a_stream_is_resumed_elsewhere_after_the_last_complete_event",),
     ),
     Weakness(
-        "keys are honoured whatever is known of them",
+        "stale keys are accepted",
         (
             Edit(
-                "gateway", "if not route.open and not self._knows_keys():", "if False:"
+                "gateway",
+                "if not route.open and not self._keys_are_fresh():",
+                "if False:",
             ),
         ),
-        (
-            "tests.test_gateway.TestRefusals.test_keys_known_too_long_ago_are_not_honoured",
-        ),
+        ("tests.test_gateway.TestRefusals.test_stale_keys_are_refused",),
     ),
     Weakness(
         "a leaving upstream gets work",
@@ -241,79 +255,85 @@
                 "if name not in excluded",
             ),
         ),
-        ("tests.test_balancing.TestLeaving.test_a_leaving_one_gets_nothing",),
+        ("tests.test_balancing.TestLeaving.test_a_leaving_upstream_gets_no_requests",),
     ),
     Weakness(
         "an older change replaces a newer one",
         (
             Edit(
                 "mirrors",
-                "if known is not None and known.revision >= item.revision:",
+                "if current is not None and current.revision >= item.revision:",
                 "if False:",
             ),
             Edit("mirrors", CROSSED, "list(items)"),
         ),
-        (MIRROR + "an_older_change_never_replaces_a_newer_one",),
+        (MIRROR + "older_change_never_replaces_a_newer_one",),
     ),
     Weakness(
-        "an answer that crosses newer news is applied",
+        "a reply older than applied news is applied",
         (Edit("mirrors", CROSSED, "list(items)"),),
-        (NEWS + "older_news_never_bring_back_what_was_deleted",),
+        (NEWS + "late_reply_restores_no_deleted_item",),
     ),
     Weakness(
-        "another instance's knowledge counts from its answer",
-        (Edit("mirrors", "asked_at - news.age", "now - news.age"),),
-        (NEWS + "knowledge_is_as_old_as_the_call_that_proved_it",),
+        "the age of news counts from the reply",
+        (Edit("mirrors", "queried_at - news.age", "now - news.age"),),
+        (NEWS + "age_counts_from_the_call_that_proved_it",),
     ),
     Weakness(
-        "an instance that is cut off from the store is proof enough",
-        (Edit("fanout", "self.fresh = age <= self._oldest", "self.fresh = True"),),
-        (FANOUT + "one_that_is_cut_off_from_the_store_is_no_proof",),
+        "every reply counts as fresh",
+        (Edit("fanout", "self.fresh = age <= self._max_age", "self.fresh = True"),),
+        (FANOUT + "reply_of_a_leader_without_the_store_is_not_fresh",),
     ),
     Weakness(
-        "all followers of a leader without the store watch it",
+        "all followers watch after their leader lost the store",
         (
             Edit(
                 "neighbours",
-                "= told or (helped and not away)",
-                "= told",
+                "= informed or (fallback_informed and not unreachable)",
+                "= informed",
             ),
         ),
-        (WATCHERS + "a_leader_that_lost_the_store_sends_nobody_to_it_but_the_next",),
+        (WATCHERS + "few_followers_watch_after_their_leader_lost_the_store",),
     ),
     Weakness(
-        "one that lost the store vouches for what it was told",
-        (Edit("neighbours", "self._vouches = told or not away", "pass"),),
-        (WATCHERS + "nobody_proves_to_another_what_it_has_from_it",),
+        "an instance without the store returns borrowed state as fresh",
+        (
+            Edit(
+                "neighbours",
+                "self._shares_store_state = informed or not unreachable",
+                "pass",
+            ),
+        ),
+        (WATCHERS + "borrowed_store_state_is_not_returned_as_fresh",),
     ),
     Weakness(
-        "every leader watches, however many there are",
-        (Edit("neighbours", "if self._oldest <= ALL_WATCH:", "if True:"),),
-        (WATCHERS + "two_watch_for_all_where_there_is_time_to_ask",),
+        "every leader watches the store whatever the bound",
+        (Edit("neighbours", "if self._max_age <= ALL_LEADERS_WATCH_AGE:", "if True:"),),
+        (WATCHERS + "two_instances_watch_for_a_large_fleet",),
     ),
     Weakness(
-        "an answer to any question is taken for the last one's",
-        (Edit("fanout", "or self._asked.number != number", ""),),
-        (FANOUT + "an_answer_to_an_older_question_proves_nothing",),
+        "a reply to any query is taken as the pending one's",
+        (Edit("fanout", "or self._pending.number != number", ""),),
+        (FANOUT + "reply_to_an_older_query_is_ignored",),
     ),
     Weakness(
-        "what is given back counts at each word",
+        "returned totals count again with each claim",
         (Edit("credit", "= entry.returned - before", "= entry.returned"),),
-        (CREDIT + "what_comes_twice_or_late_or_never_makes_no_credit",),
+        (CREDIT + "lost_duplicated_or_late_messages_create_no_credit",),
     ),
     Weakness(
-        "what is granted counts at each word",
+        "granted totals count again with each grant",
         (
             Edit(
                 "credit",
-                "gained[name] = total - self.granted.get(name, 0)",
-                "gained[name] = total",
+                "granted[name] = total - self.granted.get(name, 0)",
+                "granted[name] = total",
             ),
         ),
-        (CREDIT + "what_is_granted_adds_up_once",),
+        (CREDIT + "granted_totals_count_once",),
     ),
     Weakness(
-        "a parent that started again takes old credit for new",
+        "a restarted parent counts old credit as new",
         (
             Edit("allowances", "claim.parent not in (0, self._incarnation)", "False"),
             Edit(
@@ -322,10 +342,10 @@
                 "            if False:\n",
             ),
         ),
-        (CREDIT + "a_parent_that_started_again_counts_nothing_twice",),
+        (CREDIT + "restarted_parent_counts_no_credit_twice",),
     ),
     Weakness(
-        "one that was forgotten brings back old credit",
+        "a forgotten child brings back old credit",
         (
             Edit(
                 "allowances",
@@ -333,67 +353,72 @@
                 "            if False:\n",
             ),
         ),
-        (CREDIT + "one_that_was_forgotten_brings_back_nothing_old",),
+        (CREDIT + "forgotten_child_brings_back_no_old_credit",),
     ),
     Weakness(
-        "one that is cut off keeps the whole burst",
-        (Edit("allowances", "            if alone:\n", "            if False:\n"),),
+        "an instance without a parent keeps the whole burst",
+        (
+            Edit(
+                "allowances", "            if parentless:\n", "            if False:\n"
+            ),
+        ),
         (
-            PARTITIONS + "many_that_are_cut_off_together_spend_no_burst_each",
-            PARTITIONS + "a_parent_that_is_cut_off_gives_up_what_it_held_for_others",
+            PARTITIONS + "cut_off_instances_share_one_burst",
+            PARTITIONS + "cut_off_parent_drops_the_credit_of_others",
         ),
     ),
     Weakness(
-        "one that starts takes the whole rate",
+        "a starting instance accrues the whole rate",
         (
-            Edit("allowances", "self._known = 0", "self._known = 1"),
-            Edit("allowances", "self._at = started_at", "self._at = started_at or 0.0"),
+            Edit("allowances", "self._instance_count = 0", "self._instance_count = 1"),
+            Edit(
+                "allowances",
+                "self._advanced_at = started_at",
+                "self._advanced_at = started_at or 0.0",
+            ),
         ),
         (
             "tests.test_allowances.TestOneInstance"
-            ".test_one_that_starts_takes_nothing_before_it_knows_the_others",
+            ".test_no_credit_accrues_before_the_instance_count_is_known",
         ),
     ),
     Weakness(
-        "a part of the system spends the whole rate",
-        (Edit("allowances", "passed / self._known", "passed"),),
+        "one side of a partition spends the whole rate",
+        (Edit("allowances", "elapsed / self._instance_count", "elapsed"),),
         (
-            PARTITIONS + "an_instance_that_hears_nobody_keeps_to_its_part",
-            MODEL + "a_third_is_cut_off_while_a_customer_is_loud_at_any_size",
+            PARTITIONS + "instance_without_parent_spends_only_its_share",
+            MODEL + "bound_holds_at_any_size_while_a_third_is_cut_off",
         ),
     ),
     Weakness(
-        "what is under way counts in the burst",
+        "credit in transit counts towards the burst",
         (Edit("allowances", "UNDER_WAY if self._children else 0.0", "0.0"),),
         (
-            "tests.test_allowances_model.TestOwed"
+            "tests.test_allowances_model.TestServedLoad"
             ".test_requests_nearly_as_large_as_the_burst_are_served",
         ),
     ),
     Weakness(
-        "what did not run comes back however late",
-        (Edit("allowances", " and seconds_ago <= REFUND_FOR", ""),),
-        (
-            "tests.test_allowances.TestOneInstance"
-            ".test_what_did_not_run_for_long_is_not_given_back",
-        ),
+        "a request is refunded however late",
+        (Edit("allowances", " and seconds_ago <= REFUND_WINDOW", ""),),
+        ("tests.test_allowances.TestOneInstance.test_late_refund_is_ignored",),
     ),
     Weakness(
         "an answer is taken although its asker went on alone",
         (
             Edit(
                 "placing",
-                "item = self._open.pop(answer.number, None)",
-                "item = self._open.get(answer.number)",
+                "item = self._pending.pop(answer.number, None)",
+                "item = self._pending.get(answer.number)",
             ),
-            Edit("placing", "        del self._open[number]\n", ""),
+            Edit("placing", "        del self._pending[number]\n", ""),
         ),
         (PLACING + "each_request_is_sent_once",),
     ),
     Weakness(
         "what is placed stays placed",
-        (Edit("stations", "if now >= sent.over_by:", "if False:"),),
-        (PLACING + "what_nobody_speaks_of_any_more_is_forgotten",),
+        (Edit("stations", "if now >= sent.assumed_ended_at:", "if False:"),),
+        (PLACING + "placed_requests_without_reports_expire",),
     ),
     Weakness(
         "a placer's word goes before one's own knowledge",
@@ -404,39 +429,65 @@
                 "if station is None:",
             ),
         ),
-        (PLACING + "an_upstream_that_the_asker_knows_to_leave_gets_nothing_new",),
+        (PLACING + "a_leaving_upstream_known_to_the_asker_gets_no_requests",),
     ),
     Weakness(
         "all are let in",
         (
             Edit(
-                "balancing", "return estimate.ahead / self.rate > most", "return False"
+                "balancing",
+                "return estimate.queued_tokens / self.rate > limit",
+                "return False",
             ),
         ),
-        (LOADS + "a_pool_that_is_asked_for_too_much_does_what_it_can",),
+        (LOADS + "an_overloaded_pool_still_serves_what_it_can",),
     ),
     Weakness(
         "who hears nothing goes on to try a version",
-        (Edit("rollouts", "heard = now - self.as_of <= HEARD_FOR", "heard = True"),),
-        (ROLLOUTS + "TestWhoMayGoWhere.test_who_hears_nothing_tries_nothing",),
+        (
+            Edit(
+                "rollouts",
+                "up_to_date = now - self.as_of <= MAX_DECISION_AGE",
+                "up_to_date = True",
+            ),
+        ),
+        (
+            ROLLOUTS + "TestExcludedUpstreams"
+            ".test_an_instance_without_news_sends_no_trial_requests",
+        ),
     ),
     Weakness(
         "a new version gets as much as it has upstreams",
-        (Edit("rollouts", "TRIAL_PART = 0.04", "TRIAL_PART = 0.5"),),
-        (ROLLOUTS + "TestDrawnRollouts.test_bad_versions_stay_within_what_is_borne",),
+        (Edit("rollouts", "TRIAL_FRACTION = 0.04", "TRIAL_FRACTION = 0.5"),),
+        (
+            ROLLOUTS
+            + "TestRandomRollouts.test_bad_versions_stay_within_the_tolerated_exposure",
+        ),
     ),
     Weakness(
-        "a leader that leads again tells of old work",
-        (Edit("tallies", "part = KEPT / max(KEPT, gap)", "part = 1.0"),),
-        (TALLY + "one_that_leads_again_brings_no_old_work",),
+        "a returning leader adds old work",
+        (
+            Edit(
+                "tallies",
+                "fraction = REPORT_TIMEOUT / max(REPORT_TIMEOUT, gap)",
+                "fraction = 1.0",
+            ),
+        ),
+        (TALLY + "returning_leader_adds_no_old_work",),
     ),
     Weakness(
-        "a word that comes late is passed over",
-        (Edit("tallies", "part = KEPT / max(KEPT, gap)", "part = float(gap <= KEPT)"),),
-        (TALLY + "what_one_worked_that_was_heard_late_counts",),
+        "a late report is ignored",
+        (
+            Edit(
+                "tallies",
+                "fraction = REPORT_TIMEOUT / max(REPORT_TIMEOUT, gap)",
+                "fraction = float(gap <= REPORT_TIMEOUT)",
+            ),
+        ),
+        (TALLY + "work_of_a_late_report_counts",),
     ),
     Weakness(
-        "one that started again is taken for the one before",
+        "a restarted upstream is taken as the previous process",
         (
             Edit(
                 "registrations",
@@ -445,12 +496,12 @@
             ),
         ),
         (
-            "tests.test_gateway.TestUpstreamsThatLeave"
-            ".test_one_that_started_again_gets_new_connections_and_no_old_credit",
+            "tests.test_gateway.TestUpstreamChanges"
+            ".test_a_restarted_upstream_gets_new_connections_and_new_state",
         ),
     ),
     Weakness(
-        "a history is told of for ever",
+        "repeated placements never expire",
         (
             Edit(
                 "tallies",
@@ -460,7 +511,7 @@
         ),
         (
             "tests.test_prompt_caches.TestPlacements"
-            ".test_what_is_told_again_and_again_ends_all_the_same",
+            ".test_repeated_reports_do_not_extend_a_placement",
         ),
     ),
     Weakness(
@@ -468,47 +519,48 @@
         (
             Edit(
                 "prompt_caches",
-                "while size > memory_tokens * KEPT_PART and len(kept) > 1:",
+                "while size > memory_tokens * SHARED_FRACTION and len(cached) > 1:",
                 "while False:",
             ),
         ),
         (
             "tests.test_prompt_caches.TestPromptCaches"
-            ".test_what_was_used_longest_ago_is_forgotten_first",
+            ".test_the_least_recently_used_parts_are_dropped_first",
         ),
     ),
     Weakness(
         "old figures are taken as they stand",
-        (Edit("balancing", "OTHERS_WEIGHT = 0.25", "OTHERS_WEIGHT = 1.0"),),
+        (Edit("balancing", "PEER_PREFILL_WEIGHT = 0.25", "PEER_PREFILL_WEIGHT = 1.0"),),
         (
             "tests.test_old_loads.TestOldLoads"
-            ".test_figures_that_are_old_draw_nobody_to_the_same_engine",
+            ".test_outdated_loads_do_not_send_all_gateways_to_one_engine",
         ),
     ),
     Weakness(
         "work that isn't known yet is taken for none",
         (Edit("sizing", "if not self.meter.is_settled(now):", "if False:"),),
         (
-            "tests.test_sizing.TestStart.test_a_part_of_the_bound_is_ordered_before_the_work_is_known",
+            "tests.test_sizing.TestStart"
+            ".test_a_fraction_of_the_maximum_is_ordered_before_the_work_is_known",
         ),
     ),
     Weakness(
-        "knowledge counts from the answer",
-        (Edit("mirrors", CHANGED, CHANGED.replace("sent", "now")),),
-        (MIRROR + "knowledge_is_as_old_as_the_sending_of_its_call",),
+        "the age of knowledge counts from the reply",
+        (Edit("mirrors", CHANGED, CHANGED.replace("sent_at", "now")),),
+        (MIRROR + "age_counts_from_the_sending_of_the_call",),
     ),
     Weakness(
-        "a holder trusts its lease to the end and beyond",
-        (Edit("tenures", "now >= self._until:", "False:"),),
-        (TENURE + "nobody_acts_on_a_lease_that_may_have_lapsed",),
+        "a holder acts after its lease may have lapsed",
+        (Edit("tenures", "now >= self._trusted_until:", "False:"),),
+        (TENURE + "no_fencing_number_under_a_possibly_lapsed_lease",),
     ),
     Weakness(
         "a returning holder acts at once",
         (Edit("tenures", BACK, "if False:"),),
-        (TENURE + "a_returning_holder_waits_out_its_own_last_act",),
+        (TENURE + "returning_holder_waits_a_lease_after_its_last_act",),
     ),
     Weakness(
-        "vanished registrations are gone at once",
+        "lapsed registrations are dropped at once",
         (Edit("registrations", "if now < regained_at + LAPSE_GRACE:", "if False:"),),
         (
             "tests.test_registrations.TestRegistry"
@@ -519,14 +571,14 @@
         "others are ordered only once too few are left",
         (Edit("sizing", "if now < self._scarce_until:", "if False:"),),
         (
-            SIZING + "a_second_notice_buys_what_suffices_alone",
+            SIZING + "a_second_notice_orders_enough_on_demand_instances",
             SIZING + "a_refused_order_counts_as_scarcity",
         ),
     ),
     Weakness(
         "a log's reader is waited for",
-        (Edit("logs", "_Bound.dropped += 1\n            return\n", "pass\n"),),
-        ("tests.test_logs.TestVolume.test_a_reader_that_stalls_holds_nobody_up",),
+        (Edit("logs", "_RateLimit.dropped += 1\n            return\n", "pass\n"),),
+        ("tests.test_logs.TestLimits.test_a_stalled_reader_does_not_block_the_writer",),
     ),
 )
 
