--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -1,9 +1,9 @@
-"""Play drawn deployments with the gateways' own decisions; compare two policies.
+"""Simulate random deployments with the gateway's own code; compare two policies.
 
-``python -m bench.experiment play out.json`` plays them with the sources as they are,
-``--set sizing.HEADROOM=2`` with another figure. ``compare one.json two.json`` tells by
-how much they differ on the same draws. Sockets, the store and the way of a request
-through a gateway aren't modelled, so that absolute figures are not a deployment's.
+``python -m bench.experiment play out.json`` simulates the code as it is; with ``--set
+sizing.HEADROOM=2`` it overrides a constant. ``compare one.json two.json`` prints the
+differences on the same seeds. Sockets, the store and the handling of a request inside
+a gateway are not modelled, so absolute results differ from those of a real deployment.
 """
 
 import importlib
@@ -18,11 +18,11 @@
 import typer
 
 from chervilwing import gateway
-from chervilwing.balancing import Origin, PoolBalance
+from chervilwing.balancing import PlacementOrigin, PoolBalancer
 from chervilwing.demands import Demand
-from chervilwing.routing import EngineTraits, PoolTraits
-from chervilwing.sizing import Kind, Sizing
-from chervilwing.stations import NOTHING, add_loads
+from chervilwing.routing import EngineSpec, PoolSpec
+from chervilwing.sizing import InstanceKind, Sizing
+from chervilwing.upstream_states import NO_LOAD, add_loads
 
 from .draws import CENTRES, draw, draw_arrivals, read_ranges
 from .engines import Clock
@@ -30,29 +30,34 @@
 from .pages import format_table
 from .stepping import SLOTS, Run
 
-# Seconds between two words of what others have in flight, and how old they are then.
+# Interval in seconds between load reports of the gateways, and their age on receipt.
 WORD_AGE = 0.25
 ORDER_EVERY = 0.1
 ATTEMPTS = 3
-# Bytes of a token on the link between two engines, and bits a second.
+# Bytes of cache per token sent between two engines, and bits per second of the link.
 TOKEN_BYTES, LINK_RATE = 18_000.0, 3e11
-# Seconds of a usual instance that a token costs which is fetched.
+# Cost of a token fetched from another engine, in seconds of an on-demand instance.
 FETCHED_COST = 1e-5
-# What the users say that counts: the whole day, the worst seconds, data centre, kind.
+# Weights of the score: whole run, worst seconds, worst data centre, worst kind.
 DAY, WORST_SECONDS, WORST_CENTRE, WORST_KIND = 0.4, 0.28, 0.2, 0.12
+# Fraction of its worth that an answer after the latency target earns.
 LATE_PART = 0.1
 WINDOW = 2.0
 # Half-width of a 95 % interval in standard errors.
 INTERVAL = 1.96
 FIGURES = ("worth", "day", "window", "centre", "kind", "price", "kept", "late")
-# Whether the first gateway chooses for all; 0 lets each choose for itself.
+# 1 lets the first gateway choose upstreams for all; 0 lets each gateway choose.
 PLACED = 1
 PLACER = "first"
 app = typer.Typer(add_completion=False)
 
 
 class Outcome(NamedTuple):
-    """What became of one deployment; see FIGURES."""
+    """Results of one deployment, most as fractions of the worth of all requests.
+
+    ``kept`` is the fraction of prompt tokens found in a cache, ``late`` the fraction
+    of requests that earned less than half of their worth.
+    """
 
     worth: float
     day: float
@@ -65,7 +70,7 @@
 
 
 class Caller:
-    """One request on its way."""
+    """A caller's request and the upstreams that it was sent to."""
 
     __slots__ = (
         "arrival",
@@ -88,8 +93,8 @@
         self.first = None
 
 
-class Play:
-    """One drawn deployment from the start of its instances to the last request."""
+class Simulation:
+    """Simulation of a deployment, from its first instance to its last request."""
 
     def __init__(self, deployment, arrivals, seed):
         self.deployment = deployment
@@ -97,13 +102,13 @@
         self.clock.now = -deployment.lead
         self.market = Market(self.clock, deployment, self._register)
         memory = deployment.engine.memory_tokens
-        traits = PoolTraits(
+        spec = PoolSpec(
             "engines",
-            engine=EngineTraits(SLOTS, memory, TOKEN_BYTES, LINK_RATE),
+            engine=EngineSpec(SLOTS, memory, TOKEN_BYTES, LINK_RATE),
             fleet=deployment.fleet,
         )
         self.pools = [
-            PoolBalance(traits, CENTRES[n % len(CENTRES)], random.Random(seed + n))
+            PoolBalancer(spec, CENTRES[n % len(CENTRES)], random.Random(seed + n))
             for n in range(deployment.gateways)
         ]
         self.sizing = Sizing()
@@ -113,15 +118,17 @@
         self._began = {}
 
     def run(self):
-        """Play and return the Outcome."""
+        """Run the simulation and return its Outcome."""
         others = int(np.ceil(1.5 * self.deployment.work)) + 2
-        centres = [Kind(CENTRES[n % len(CENTRES)], False) for n in range(others)]
+        centres = [
+            InstanceKind(CENTRES[n % len(CENTRES)], False) for n in range(others)
+        ]
         self.market.start(Counter(centres))
         self._order()
-        self._tell_loads(None)
+        self._exchange_loads(None)
         lead = self.deployment.lead
         for caller in self.callers:
-            self.clock.call(lead + caller.arrival.at, self._ask, caller)
+            self.clock.call(lead + caller.arrival.at, self._send_request, caller)
         for wave in self.deployment.waves:
             self.clock.call(lead + wave.at, self.market.reclaim, wave)
         for at in self.deployment.crashes:
@@ -136,7 +143,7 @@
         else:
             self.registered[name] = registration
         for pool in self.pools:
-            pool.remove(name) if gone else pool.put(registration)
+            pool.remove(name) if gone else pool.put_upstream(registration)
 
     def _order(self):
         now = self.clock.now
@@ -144,93 +151,100 @@
             self.market.count_paid()
             return
         totals = {str(n): (0, pool.work) for n, pool in enumerate(self.pools)}
-        self.sizing.meter.measure(totals, now)
-        due = self.sizing.list_due(
+        self.sizing.meter.update(totals, now)
+        due = self.sizing.list_due_orders(
             self.deployment.fleet, list(self.registered.values()), now
         )
         for kind, number in due[:1]:
             if self.market.order(kind, number):
-                self.sizing.note_ordered(kind, number, now)
+                self.sizing.record_ordered(kind, number, now)
             else:
-                self.sizing.note_denied(kind, now)
+                self.sizing.record_denied(kind, now)
         self.clock.call(ORDER_EVERY, self._order)
 
-    def _tell_loads(self, before):
-        """Tell each gateway what the others had in flight a moment ago."""
+    def _exchange_loads(self, before):
+        """Report to each gateway the others' load of ``WORD_AGE`` seconds ago."""
         now = self.clock.now
         if before is not None:
             for pool, others in zip(self.pools, before[0], strict=True):
-                pool.hear(others, now + 9.0)
-                pool.learn(before[1])
+                pool.set_peer_loads(others, now + 9.0)
+                pool.add_reported_prompts(before[1])
         loads = [
-            {name: station.own for name, station in pool.stations.items()}
+            {
+                name: upstream_state.own_load
+                for name, upstream_state in pool.upstream_states.items()
+            }
             for pool in self.pools
         ]
         placed = [item for pool in self.pools for item in pool.caches.list_recent(now)]
-        words = list(leave_one_out(loads)), placed
-        self.clock.call(WORD_AGE, self._tell_loads, words)
+        reports = list(leave_one_out(loads)), placed
+        self.clock.call(WORD_AGE, self._exchange_loads, reports)
 
-    def _ask(self, caller):
-        """Let a caller ask a gateway of its data centre."""
+    def _send_request(self, caller):
+        """Send a caller's request to a gateway, preferably in its own data centre."""
         near = [p for n, p in enumerate(self.pools) if self._is_near(n, caller)]
         pool = self._rng.choice(near or self.pools)
         now = self.clock.now
         found = self._choose(pool, caller, now)
         if found is not None:
-            pool.ask(caller.demand, found[1])
-            if found[1].seconds <= (caller.ends_at - now) * gateway.HOPELESS_PART:
+            pool.record_work(caller.demand, found[1])
+            if found[1].seconds <= (caller.ends_at - now) * gateway.MAX_DEADLINE_PART:
                 self._send(pool, caller, found)
                 return
-        # Refused once, a caller comes back.
+        # A caller retries a refused request once.
         wait = self._rng.uniform(0.25, 1.0)
         if not caller.refused and now + wait < caller.ends_at:
             caller.refused = True
-            self.clock.call(wait, self._ask, caller)
+            self.clock.call(wait, self._send_request, caller)
 
     def _choose(self, pool, caller, now):
-        """Return the station of a gateway that the first one chooses for it."""
+        """Return the upstream state and estimate that the first gateway chooses."""
         if not PLACED:
             return pool.choose(caller.demand, caller.tried, now)
         centre = CENTRES[self.pools.index(pool) % len(CENTRES)]
-        origin = Origin(centre, PLACER)
+        origin = PlacementOrigin(centre, PLACER)
         found = self.pools[0].choose(caller.demand, caller.tried, now, origin)
         if found is None:
             return None
-        self.pools[0].place(caller.demand.request_id, caller.demand, found, now)
-        station, estimate = found
+        self.pools[0].record_placed(caller.demand.request_id, caller.demand, found, now)
+        upstream_state, estimate = found
         source = estimate.source
         if source is not None:
-            source = pool.stations[source.registration.name]
-        name = station.registration.name
-        return pool.stations[name], estimate._replace(source=source)
+            source = pool.upstream_states[source.registration.name]
+        name = upstream_state.registration.name
+        return pool.upstream_states[name], estimate._replace(source=source)
 
     def _is_near(self, number, caller):
         return CENTRES[number % len(CENTRES)] == caller.arrival.centre
 
     def _send(self, pool, caller, found):
-        station, estimate = found
-        name = station.registration.name
+        upstream_state, estimate = found
+        name = upstream_state.registration.name
         caller.tried.add(name)
-        pool.send(station, caller.demand, estimate, self.clock.now)
+        pool.record_sent(upstream_state, caller.demand, estimate, self.clock.now)
         arrival = caller.arrival
         run = Run(
             arrival.parts,
             arrival.output,
-            lambda event: self._hear(event, pool, caller, station),
+            lambda event: self._handle_event(event, pool, caller, upstream_state),
             estimate.source and self.market.engines[estimate.source.registration.name],
         )
         self.market.engines[name].arrive(run)
 
-    def _hear(self, event, pool, caller, station):
+    def _handle_event(self, event, pool, caller, upstream_state):
         now, key = self.clock.now, caller.demand.request_id
         if event == "first":
-            pool.start(station, caller.demand, now)
-            self.pools[0].start_placed(self._find_placed(station), key, now)
+            pool.record_first_byte(upstream_state, caller.demand, now)
+            self.pools[0].record_placed_first_byte(
+                self._find_placed(upstream_state), key, now
+            )
             caller.first = caller.first or now
             return
         failed = event == "failed"
-        pool.end(station, caller.demand, failed, now)
-        self.pools[0].end_placed(self._find_placed(station), key, failed, now)
+        pool.record_end(upstream_state, caller.demand, failed, now)
+        self.pools[0].record_placed_end(
+            self._find_placed(upstream_state), key, failed, now
+        )
         if event == "done":
             self._began[caller] = caller.first
             return
@@ -238,13 +252,13 @@
         if len(caller.tried) < ATTEMPTS and now < caller.ends_at and found:
             self._send(pool, caller, found)
 
-    def _find_placed(self, station):
-        """Return what the first gateway knows of another one's station."""
-        name = station.registration.name
-        return self.pools[0].stations.get(name, station)
+    def _find_placed(self, upstream_state):
+        """Return the first gateway's state of the same upstream."""
+        name = upstream_state.registration.name
+        return self.pools[0].upstream_states.get(name, upstream_state)
 
     def _earn(self, caller):
-        """Return what a caller's answer is worth."""
+        """Return the worth that a caller's answer earned; late ones earn a part."""
         first = self._began.get(caller)
         if first is None or first > caller.ends_at:
             return 0.0
@@ -282,7 +296,10 @@
         )
 
     def _split(self, earned, key):
-        """Return what each group earned; the smallest tenth says too little."""
+        """Return the fraction of its worth that each group earned.
+
+        Groups smaller than a quarter of the median are too small to judge.
+        """
         groups = {}
         for caller in self.callers:
             groups.setdefault(key(caller.arrival), []).append(caller)
@@ -295,33 +312,33 @@
 
 
 def measure_part(callers, earned):
-    """Return the part of their worth that callers were served."""
-    owed = sum(caller.arrival.worth for caller in callers)
-    return sum(earned[caller] for caller in callers) / owed
+    """Return the earned worth as a fraction of the worth of all requests."""
+    total = sum(caller.arrival.worth for caller in callers)
+    return sum(earned[caller] for caller in callers) / total
 
 
 def leave_one_out(loads):
-    """Yield for each of several loads by name the sum of all others."""
+    """Yield, for each mapping of names to loads, the sum of all other mappings."""
     for own in range(len(loads)):
         sums = {}
         for number, load in enumerate(loads):
             if number != own:
                 for name, one in load.items():
-                    sums[name] = add_loads(sums.get(name, NOTHING), one)
+                    sums[name] = add_loads(sums.get(name, NO_LOAD), one)
         yield sums
 
 
-def play_seed(seed, changes, ranges):
-    """Return the Outcome of one draw, with other figures in force."""
+def simulate_seed(seed, changes, ranges):
+    """Return the Outcome of one seed, with the changed constants in force."""
     for change in changes:
-        set_figure(change)
+        set_constant(change)
     rng = np.random.default_rng(seed)
     deployment = draw(ranges, rng)
-    return Play(deployment, draw_arrivals(deployment, rng), seed).run()
+    return Simulation(deployment, draw_arrivals(deployment, rng), seed).run()
 
 
-def set_figure(change):
-    """Put ``module.NAME=number`` in force."""
+def set_constant(change):
+    """Set a constant, given as ``module.NAME=number``."""
     name, _, value = change.partition("=")
     module, _, figure = name.rpartition(".")
     number = float(value) if "." in value else int(value)
@@ -340,12 +357,12 @@
     ranges: Path | None = None,
     change: Annotated[list[str] | None, typer.Option("--set")] = None,
 ):
-    """Play as many draws and write their figures."""
+    """Simulate ``seeds`` random deployments and write their results."""
     drawn = read_ranges(*([ranges] if ranges else []))
     chosen = range(first, first + seeds)
     with ProcessPoolExecutor(jobs) as pool:
         found = pool.map(
-            play_seed, chosen, [change or []] * seeds, [drawn] * seeds, chunksize=2
+            simulate_seed, chosen, [change or []] * seeds, [drawn] * seeds, chunksize=2
         )
         outcomes = {str(s): o._asdict() for s, o in zip(chosen, found, strict=True)}
     out.write_text(json.dumps(outcomes, indent=1))
@@ -355,7 +372,7 @@
 
 @app.command()
 def compare(before: Path, after: Path):
-    """Tell by how much two files of figures differ, on the draws that both have."""
+    """Print the differences of two result files on the seeds that both have."""
     one, two = (json.loads(path.read_text()) for path in (before, after))
     seeds = sorted(one.keys() & two.keys(), key=int)
     rows = []
--- a/src/chervilwing/allowances.py
+++ b/src/chervilwing/allowances.py
@@ -15,21 +15,22 @@
 from .credit import ChildSession, Claim, Entry, Grant, ParentSession
 from .exceptions import AllowanceUnknown, CustomerLimit, Scope
 
-# Seconds after which a refused caller may retry: shortest and longest.
-SHORTEST_RETRY = 0.25
-LONGEST_RETRY = 10.0
+# Minimum and maximum seconds after which a refused caller is asked to retry.
+MIN_RETRY_AFTER = 0.25
+MAX_RETRY_AFTER = 10.0
 # Seconds after which a caller may retry at another instance.
 OTHER_INSTANCE_RETRY = 0.1
 # Fraction of all instances up to which a group of instances that reach each other is
 # assumed to be the cut-off side of a partition.
 MINORITY_FRACTION = 0.5
-# Seconds between two claims. Credit that is not needed is in transit for that long. A
-# leader of 24 instances answers 80 claims a second, 1 % of a small instance's core.
+# Seconds between two claims. Credit that an instance doesn't need stays there for up to
+# this time. A leader of 24 instances answers 80 claims a second, 1 % of a small
+# instance's core.
 CLAIM_INTERVAL = 0.3
 # Seconds without a message after which a parent or child counts as lost. Two claims in
-# a row are hardly ever lost by chance. The bound on spending grows by the rate times
-# this.
-HEARD_FOR = 0.8
+# a row are hardly ever lost by chance. The bound on spending grows by what the rate
+# accrues in this time.
+PEER_TIMEOUT = 0.8
 # Seconds between two updates of all buckets; the credit of so short a time is
 # negligible.
 ADVANCE_INTERVAL = 0.005
@@ -42,17 +43,18 @@
 RESERVE_FRACTION = 0.25
 # An instance returns credit beyond this multiple of its reserve.
 SPARE_RATIO = 1.5
-# Fraction of its capacity from which a bucket counts as full, as other instances hold
-# part of the credit in reserve.
+# A bucket counts as full from this fraction of its capacity, because other instances
+# hold part of the credit in reserve.
 FULL_FRACTION = 0.65
-# Seconds of the rate that are held in addition to the burst, because that much is
-# always in transit between instances: accrued credit is returned after CLAIM_INTERVAL,
-# through two instances. A customer whose requests are nearly as large as its burst
-# would otherwise hardly ever have enough credit at one instance.
-UNDER_WAY = 2 * CLAIM_INTERVAL
+# An instance with children and no parent may hold the burst plus what accrues in this
+# many seconds, because about that much credit is always in transit between instances:
+# accrued credit is returned after CLAIM_INTERVAL, through two instances. A customer
+# whose requests are nearly as large as its burst would otherwise hardly ever have
+# enough credit at one instance.
+IN_TRANSIT_SECONDS = 2 * CLAIM_INTERVAL
 # Seconds of an instance's share that a single request may overdraw where there is no
 # parent to ask. Without it, an instance that is cut off would never serve a long
-# prompt. The bound on spending grows by the rate times this.
+# prompt. The bound on spending grows by what the rate accrues in this time.
 OVERDRAFT_SECONDS = 1.5
 # Half-life, in seconds, of recorded use; at a steady rate the decayed sum equals 1.44
 # seconds of use.
@@ -123,12 +125,12 @@
         bucket.rate, bucket.burst = item.rate, item.burst
         bucket.level = min(bucket.level, item.burst)
 
-    def lift_limit(self, item):
+    def remove_limit(self, item):
         """Remove a limit that ended, and its credit."""
         self._buckets.pop(item.name, None)
         self._requested.pop(item.name, None)
 
-    def set_known(self, instance_count, now):
+    def set_instance_count(self, instance_count, now):
         """Set how many instances share the allowances, recently lost ones included.
 
         No credit accrues before this is set: an instance that starts beside hundreds of
@@ -152,7 +154,7 @@
         elapsed, self._advanced_at = now - self._advanced_at, now
         self._forget_children(now)
         share, parentless = self._compute_share(), self._has_no_parent(now)
-        in_transit = UNDER_WAY if self._children else 0.0
+        in_transit = IN_TRANSIT_SECONDS if self._children else 0.0
         decay = 0.5 ** (elapsed / USE_HALF_LIFE)
         for name, bucket in self._buckets.items():
             bucket.use *= decay
@@ -163,7 +165,7 @@
             accrued = bucket.rate * elapsed / self._instance_count
             bucket.level = min(bucket.level + accrued, capacity)
 
-    def covers(self, item, cost, now):
+    def has_credit(self, item, cost, now):
         """Return whether this instance has the credit for a cost."""
         bucket = self._find_bucket(item)
         if bucket is None:
@@ -173,7 +175,7 @@
 
     def charge(self, item, cost, now):
         """Spend the cost; return whether the credit for it was available."""
-        if not self.covers(item, cost, now):
+        if not self.has_credit(item, cost, now):
             return False
         bucket = self._find_bucket(item)
         if bucket is None:
@@ -182,15 +184,15 @@
         bucket.use += cost
         return True
 
-    def seek(self, item, cost, until):
+    def request_credit(self, item, cost, until):
         """Request credit in the claims up to ``until``; no request waits for it yet."""
         self._requested[item.name] = CreditRequest(cost, until)
 
-    def wait(self, organisation, cost):
+    def add_waiting(self, organisation, cost):
         """Record that a request waits for credit."""
         self.waiting.setdefault(organisation.name, []).append(cost)
 
-    def stop_waiting(self, organisation, cost):
+    def remove_waiting(self, organisation, cost):
         """Record that a request no longer waits."""
         self.waiting[organisation.name].remove(cost)
         if not self.waiting[organisation.name]:
@@ -202,7 +204,7 @@
         if bucket is not None and seconds_ago <= REFUND_WINDOW:
             bucket.level = min(bucket.burst, bucket.level + cost)
 
-    def refuse(self, organisation, cost):
+    def make_limit_error(self, organisation, cost):
         """Return the refusal of a request for which there is not enough credit.
 
         An instance that is cut off may have used up its share while the customer is far
@@ -216,7 +218,7 @@
         ):
             return AllowanceUnknown(scope=scope, retry_after=OTHER_INSTANCE_RETRY)
         wait = cost / self._buckets[organisation.name].rate
-        wait = min(LONGEST_RETRY, max(SHORTEST_RETRY, wait))
+        wait = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait))
         return CustomerLimit(
             "The allowance is used up.",
             scope=scope,
@@ -294,7 +296,7 @@
 
     @property
     def lacks_credit(self):
-        """Return whether a child wants credit that is not available here."""
+        """Return whether a child wants more credit than was granted to it."""
         return any(self._list_child_wants(name) for name in self._buckets)
 
     def _find_bucket(self, item):
@@ -313,8 +315,8 @@
             amount = max(0, min(wanted, int(bucket.level)))
             if self._may_overdraw(bucket, wanted):
                 amount = wanted
-            # Less than a request needs would lie idle here until it is returned, while
-            # others lack it.
+            # Credit that is too little for a request would lie idle at the child until
+            # it is returned, while other instances lack it.
             if amount >= minimum:
                 bucket.level -= amount
                 bucket.use += amount
@@ -326,9 +328,9 @@
 
         Only an instance without an answering parent may overdraw; its bucket is full
         again only after the time in which such a cost accrues. If its subtree has more
-        than half of all instances, which holds for one at most, it may pay any cost:
-        one request exceeds the bound. Otherwise it may pay what its share accrues in
-        OVERDRAFT_SECONDS.
+        than half of all instances, which is true of at most one instance, it may pay
+        any cost; a single request then exceeds the bound. Otherwise the cost may exceed
+        the capacity by what its share of the rate accrues in OVERDRAFT_SECONDS.
         """
         share = self._compute_share()
         capacity = bucket.burst * share
@@ -342,8 +344,8 @@
     def _make_entry(self, name):
         """Return the Entry of an allowance, after returning credit that is not needed.
 
-        Credit is returned only to a parent that has answered in this session: another
-        process that starts under its name could count it twice.
+        Credit is returned only to a parent that has answered in this session: a new
+        process under the parent's name could otherwise count it twice.
         """
         bucket, session = self._buckets[name], self._session
         reserve = bucket.compute_reserve()
@@ -351,8 +353,8 @@
         children = self._list_child_wants(name)
         wants = [*waiting, *(wanted for wanted, _ in children)]
         needs = [*waiting, *(minimum for _, minimum in children if minimum)]
-        # Requests at most one burst for all of them, or the cost of a single larger
-        # request.
+        # The wanted credit is at most one burst for all requests together, or the cost
+        # of the largest single request if that is more.
         wanted = max([min(sum(wants), bucket.burst), *wants])
         spare = int(bucket.level - SPARE_RATIO * reserve - wanted)
         if spare > 0 and session.incarnation:
@@ -383,7 +385,7 @@
 
     def _has_no_parent(self, now):
         """Return whether no parent answers; ``now`` is None before the first update."""
-        return now is None or now - self._last_answer_at > HEARD_FOR
+        return now is None or now - self._last_answer_at > PEER_TIMEOUT
 
     def _count_subtree(self):
         return 1 + sum(child.instances for child in self._children.values())
@@ -397,7 +399,7 @@
         gone = [
             name
             for name, child in self._children.items()
-            if now - child.last_claim_at > HEARD_FOR
+            if now - child.last_claim_at > PEER_TIMEOUT
         ]
         for name in gone:
             del self._children[name]
--- a/src/chervilwing/coordination.py
+++ b/src/chervilwing/coordination.py
@@ -10,46 +10,47 @@
 
 from .addresses import format_address, parse_address
 from .clocks import read_boottime
+from .duty_leases import DutyLease, Record
 from .exceptions import BadConfiguration
-from .items import Committed
+from .instance_count import COUNT, InstanceCount
 from .logs import log_event
 from .mirrors import Mirror
 from .models import Address
 from .rollouts import DECISIONS, decode_decision
-from .roster import COUNT, InstanceCount
+from .store_calls import Committed
 from .stored_crashes import CRASHES, decode_crash
-from .tenures import DutyLease, Record
 
-# Keys of the product itself: running instances, and the holder of the duties.
+# Store keys that the instances write: running instances, and the holder of the duties.
 INSTANCES = "chervilwing/instances/"
 DUTIES = "chervilwing/instances-duties"
-# Seconds that a watch waits. Each reply proves how fresh the knowledge is, also for the
-# instances that query this one; see fanout.MAX_FRESH_AGE.
+# Seconds that a watch waits for a change. Each reply, even without changes, renews the
+# knowledge of this instance and of those that query it; see
+# leader_queries.MAX_FRESH_AGE.
 CONFIGURATION_WAIT = 0.4
 REGISTRATIONS_WAIT = 0.4
 INSTANCES_WAIT = 4.0
 # Seconds after a change of the instances until the next call. When dozens of instances
-# start within a second, each would otherwise wake every watch. Other instances keep
-# querying one that is gone for a second in any case.
+# start within a second, each would otherwise wake every watch. An instance that has
+# gone is queried for about another second in any case.
 INSTANCES_SPACING = 0.5
 # Seconds after a change of the registrations until the next call. A reclaim wave takes
 # a whole data centre's upstreams; each change would wake every instance, and every call
 # is charged for and counted. A leaving upstream still serves for two seconds, so that a
 # quarter of a second does no harm.
 REGISTRATIONS_SPACING = 0.25
-# Seconds for which an instance that is gone counts as recent: a window of usage and the
-# time until it is reported.
+# Seconds for which an instance that is gone still counts as recently registered: the
+# length of a usage window plus the time until that window is reported.
 RECENT_SECONDS = 10.0
 # Fraction of the bound on keys up to which knowledge of them is trusted. Its age counts
 # from the sending of a watch, which already covers the second by which the store's
-# watches may be late; the rest covers the drift of two clocks. In an outage of the
-# store, each second less would refuse every caller with a key a second sooner.
+# watches may be late; the rest covers the drift of two clocks. With a smaller fraction,
+# all callers with keys would be refused sooner in an outage of the store.
 TRUSTED_FRACTION = 0.95
 # Seconds up to which knowledge of registrations counts as fresh.
 MAX_REGISTRATIONS_AGE = 2.0
-# Number of followed prefixes, the first ones, that must be fresh: the configuration and
-# the registrations. Knowledge of other instances may be older.
-FRESH_PREFIXES = 2
+# The first followed prefixes, this many, must be fresh: the configuration and the
+# registrations. Knowledge of other instances may be older.
+FRESH_PREFIX_COUNT = 2
 
 
 class Peer(NamedTuple):
@@ -77,7 +78,7 @@
         raise BadConfiguration(f"{key}: {exc}") from exc
 
 
-class Sources(NamedTuple):
+class StoreLayout(NamedTuple):
     """Where the platform keeps the followed items, and how they are decoded.
 
     ``read_document``, ``read_registration`` and ``read_order`` take a key and bytes,
@@ -94,7 +95,7 @@
 
 
 class Coordinator(BaseComponent):
-    """Follow the configuration, the registrations and the other instances."""
+    """Follow the store; keep this instance's registration and its claim to duties."""
 
     channel = "coordination"
 
@@ -108,7 +109,7 @@
         rng = random.Random()
         value = encode_peer(Peer(cfg.beacon_listen, cfg.data_centre, cfg.link_rate))
         record = Record(INSTANCES + cfg.name, value)
-        self.tenure = DutyLease(DUTIES, record, cfg.name, cfg.lease, rng)
+        self.duty_lease = DutyLease(DUTIES, record, cfg.name, cfg.lease, rng)
         self._documents = Mirror(sources.documents, CONFIGURATION_WAIT, rng)
         self._registrations = Mirror(
             sources.registrations, REGISTRATIONS_WAIT, rng, REGISTRATIONS_SPACING
@@ -126,15 +127,15 @@
         # Incremented with each change of the peers.
         self.peers_version = 0
 
-    def knows_keys(self):
+    def keys_are_fresh(self):
         """Return whether the knowledge of keys is fresh enough to accept them."""
-        return self.keys_age() < self.cfg.revoke_bound * TRUSTED_FRACTION
+        return self.compute_keys_age() < self.cfg.revoke_bound * TRUSTED_FRACTION
 
-    def keys_age(self):
+    def compute_keys_age(self):
         """Return the maximum age of the knowledge of keys, in seconds."""
         return read_boottime() - self._documents.as_of
 
-    def registrations_since(self):
+    def registrations_fresh_since(self):
         """Return since when registrations have been fresh without a break.
 
         While the store is unreachable, no registration is dropped, and the time is
@@ -151,7 +152,7 @@
     def ready(self):
         """Return whether requests can be served."""
         known = self._gateway.table is not None and self._registrations.complete
-        return known and self.knows_keys()
+        return known and self.keys_are_fresh()
 
     @property
     def passive(self):
@@ -187,7 +188,7 @@
 
     def compute_age(self, news):
         """Return the greatest age in seconds among the prefixes that must be fresh."""
-        fresh = news[:FRESH_PREFIXES]
+        fresh = news[:FRESH_PREFIX_COUNT]
         return max(float("inf") if item is None else item.age for item in fresh)
 
     def apply_news(self, news, queried_at, now):
@@ -213,28 +214,29 @@
     @property
     def lease(self):
         """Return the lease of this instance's items, or None."""
-        return self.tenure.lease
+        return self.duty_lease.lease
 
     @handler("tick", channel="*")
     def _on_tick(self):
-        self.advance()
+        self.make_due_calls()
 
-    def advance(self):
+    def make_due_calls(self):
         """Make the calls that are due."""
         now = read_boottime()
         self._set_watch_wait()
         lost = [mirror for mirror, _ in self._followed if mirror.lost_since]
         for mirror, apply in self._followed:
-            # One call detects the store's return; three would be charged for.
+            # While the store is lost, only one prefix is tried: one call suffices to
+            # detect its return, and every call is charged for.
             call = None if mirror in lost[1:] else mirror.next_call(now)
             if call is not None:
                 self._store.submit(
                     call, lambda r, m=mirror, a=apply: self._receive_reply(m, a, r)
                 )
-        call = self.tenure.next_call(now)
+        call = self.duty_lease.next_call(now)
         if call is not None:
             self._store.submit(call, self._receive_duty_reply)
-        if self.tenure.fence(now) is not None:
+        if self.duty_lease.fence(now) is not None:
             self._store_count(now)
         self._gateway.expire_upstreams()
 
@@ -249,7 +251,7 @@
     def _share_allowances(self, now):
         """Share the limits among all instances, recently lost ones included."""
         count = max(self._instance_count.count, len(self.list_recent_instances()))
-        self._gateway.allowances.set_known(count, now)
+        self._gateway.allowances.set_instance_count(count, now)
 
     def _store_count(self, now):
         call = self._instance_count.next_call(len(self.list_recent_instances()), now)
@@ -263,12 +265,12 @@
 
     def _receive_duty_reply(self, reply):
         now = read_boottime()
-        fence_before = self.tenure.fence(now)
-        self.tenure.receive(reply, now)
+        fence_before = self.duty_lease.fence(now)
+        self.duty_lease.receive(reply, now)
         self._log_duty(fence_before, now)
 
     def _log_duty(self, fence_before, now):
-        fence = self.tenure.fence(now)
+        fence = self.duty_lease.fence(now)
         if fence != fence_before:
             log_event("duty claim changed", fence=fence or 0, lease=self.lease or 0)
 
@@ -278,7 +280,7 @@
         changed = mirror.receive(reply, now)
         self._log_store_state(mirror, lost, reply)
         self._apply_changes(mirror, apply, changed, now)
-        self.advance()
+        self.make_due_calls()
 
     def _log_store_state(self, mirror, lost, reply):
         if lost is None and mirror.lost_since is not None:
@@ -290,8 +292,8 @@
     def _observe_duty(self, mirror, now):
         if mirror.revision is None:
             return
-        fence_before = self.tenure.fence(now)
-        self.tenure.observe(mirror.items.get(DUTIES), mirror.revision)
+        fence_before = self.duty_lease.fence(now)
+        self.duty_lease.observe(mirror.items.get(DUTIES), mirror.revision)
         self._log_duty(fence_before, now)
 
     def _apply_document(self, item, now):
@@ -325,8 +327,8 @@
             return
         found = self._read(self._sources.read_registration, item)
         if found is None:
-            # Overwritten by another writer: the item names no upstream any more.
-            self._gateway.drop_upstream(name)
+            # Another writer overwrote the item; it is no longer a valid registration.
+            self._gateway.remove_upstream_now(name)
             return
         self._gateway.put_upstream(found)
         log_event(
@@ -361,13 +363,13 @@
 
     def _apply_crash(self, item, now):
         crash = None if item.value is None else self._read(decode_crash, item)
-        self._gateway.crashes.hear_stored(item.key, crash, item.revision, now)
+        self._gateway.crashes.apply_stored(item.key, crash, item.revision, now)
 
     def _set_watch_wait(self):
         """Shorten the watches while a decision on a roll-out is pending."""
         rollouts = self._gateway.rollouts
-        rollouts.as_of = self._instances.as_of
-        wait = REGISTRATIONS_WAIT if rollouts.undecided else INSTANCES_WAIT
+        rollouts.updated_at = self._instances.as_of
+        wait = REGISTRATIONS_WAIT if rollouts.has_undecided else INSTANCES_WAIT
         self._instances.wait = wait
 
     def _apply_peer(self, item):
--- a/src/chervilwing/crash_watch.py
+++ b/src/chervilwing/crash_detection.py
@@ -11,17 +11,17 @@
 
 from .bounds import keep_latest
 from .clocks import read_boottime
-from .crashes import Suspicion
+from .crash_records import Suspicion
 from .logs import log_event
 from .sockets import StreamHandlers, Streams
 
 # Seconds that a probe's connection may take to open; a longer time proves nothing.
 CONNECT_TIMEOUT = 0.6
-# Seconds for which an attempt whose caller left is remembered. It may still crash its
+# Seconds for which an attempt whose caller left is kept. It may still crash its
 # upstream, which is noticed when the registration lapses: three heartbeats later, plus
 # the time until that is known.
 ABANDONED_FOR = 8.0
-# Number of latest such attempts that are kept.
+# Number of latest attempts whose callers left that are kept.
 MAX_ABANDONED = 512
 # Heartbeats after which the registration of a crashed upstream lapses, and seconds
 # until all instances know that it has lapsed.
@@ -58,10 +58,10 @@
     at: float
 
 
-class CrashWatch(BaseComponent):
+class CrashDetection(BaseComponent):
     """Suspect the requests in flight at crashed upstreams; see CrashRecords."""
 
-    channel = "crash-watch"
+    channel = "crash-detection"
 
     def __init__(self, poller, gateway, client):
         super().__init__()
@@ -74,7 +74,7 @@
         self._assumed = {}
         # Times of the latest crashes by upstream.
         self._crashed = OrderedDict()
-        # Restarts by upstream, of those that restarted last.
+        # Restarts by upstream, of the upstreams that restarted last.
         self._restarts = OrderedDict()
         self._probes = {}
         handlers = StreamHandlers(self._opened, self._received, self._closed)
@@ -85,11 +85,11 @@
         """Return whether any probe is still open."""
         return bool(self._probes)
 
-    def note_broken(self, relay, now):
+    def handle_broken(self, relay, now):
         """Handle an attempt whose connection broke off before the answer's end."""
-        registration = relay.station.registration
+        registration = relay.upstream_state.registration
         if relay.sent_at < self._get_restarts(registration.name).at:
-            # The previous process ran it, whose crash is recorded already.
+            # It ran in the upstream's previous process; that crash is already recorded.
             return
         crashed_at = self._crashed.get(registration.name)
         if crashed_at is not None:
@@ -98,17 +98,17 @@
                 crash = self._make_crash_id(registration.name)
                 self._records.prove(Suspicion(relay.fingerprint, crash), now)
         elif not registration.leaving:
-            # A leaving upstream ends when its time is over, whatever it runs.
+            # A leaving upstream ends when its time is over, so no request is suspected.
             self._start_probe(registration, now)
 
-    def note_answered(self, relay):
+    def handle_answered(self, relay):
         """Record that an upstream answers: it is running, or has restarted.
 
         Upstreams from a routes file keep their names over restarts. Other upstreams get
         a new name at each start, so one that answers after a reported crash has not
         crashed.
         """
-        name = relay.station.registration.name
+        name = relay.upstream_state.registration.name
         if self._gateway.cfg.routes:
             self._record_restart(name)
             return
@@ -116,18 +116,18 @@
             del self._crashed[name]
         self._records.record_alive(name, relay.sent_at, read_boottime())
 
-    def note_left(self, relay, now):
+    def handle_caller_left(self, relay, now):
         """Record that an attempt is abandoned while the upstream may run it."""
         if relay.call is not None and relay.call.conn.sent:
-            name = relay.station.registration.name
+            name = relay.upstream_state.registration.name
             self._abandoned.append(AbandonedAttempt(name, relay.fingerprint, now))
 
-    def note_gone(self, registration, now):
+    def handle_removed(self, registration, now):
         """Handle a vanished registration: probe the upstream if it wasn't leaving."""
         if not registration.leaving and registration.name not in self._crashed:
             self._start_probe(registration, now)
 
-    def note_restarted(self, registration, now):
+    def handle_restarted(self, registration, now):
         """Handle an upstream's restart under the same name, which proves a crash."""
         name = registration.name
         suspicions = self._list_in_flight(name, now)
@@ -143,10 +143,10 @@
         """
         cfg = self._gateway.cfg
         lapsed_at = now - cfg.heartbeat * LAPSE_HEARTBEATS - LAPSE_KNOWN_AFTER
-        if cfg.routes or self._gateway.registrations_since() > lapsed_at:
+        if cfg.routes or self._gateway.registrations_fresh_since() > lapsed_at:
             return
         for name in self._records.list_crashed(lapsed_at):
-            if name in self._gateway.registry.members:
+            if name in self._gateway.registry.upstreams:
                 self._crashed.pop(name, None)
                 self._records.record_alive(name, now, now)
                 log_event("upstream not crashed", upstream=name)
@@ -196,7 +196,7 @@
             for relay in self._gateway.relays
             if relay.call is not None
             and relay.call.conn.sent
-            and relay.station.registration.name == name
+            and relay.upstream_state.registration.name == name
             and relay.sent_at >= since
         }
         found |= {
--- a/src/chervilwing/crash_saver.py
+++ b/src/chervilwing/crash_saver.py
@@ -3,9 +3,9 @@
 from circuits.core import BaseComponent, handler
 
 from .clocks import read_boottime
-from .crashes import SUSPECTED_FOR
-from .items import Commit, Committed, Leased, TakeLease
+from .crash_records import SUSPECTED_FOR
 from .logs import log_event
+from .store_calls import Commit, Committed, Leased, TakeLease
 from .stored_crashes import encode_crash
 
 # Seconds after a failed write until the next attempt.
@@ -80,7 +80,7 @@
         log_event("crash stored", upstream=write.crash.upstream, suspected=count)
 
     def _fail(self, write, reply):
-        """Schedule the write again; a write that did succeed is simply repeated."""
+        """Schedule the write again; repeating a write that succeeded is harmless."""
         now = read_boottime()
         self._busy = False
         self._next_write = now + RETRY_AFTER
--- a/src/chervilwing/placers.py
+++ b/src/chervilwing/placer_selection.py
@@ -44,10 +44,10 @@
 
 
 class Answer(NamedTuple):
-    """Message with the upstream that a placer chose; ``upstream`` is empty for none.
+    """Message with the upstream that a placer chose, an empty name if it chose none.
 
-    ``number`` is that of the Ask, ``name`` the placing instance and ``source`` the name
-    of an upstream; the other fields are those of Estimate.
+    ``number`` is that of the Ask, ``name`` the name of the placing instance, and
+    ``source`` the name of an upstream; the other fields are those of Estimate.
     """
 
     number: int
@@ -62,25 +62,25 @@
     charged: bool = False
 
 
-class Ticket(NamedTuple):
-    """Identity of a placed request: its Ask's number and the placing instance."""
+class PlacementId(NamedTuple):
+    """Id of a placed request: its Ask's number and the placing instance's name."""
 
     number: int
     name: str
 
 
-class PlacingHooks(NamedTuple):
+class PlacementHooks(NamedTuple):
     """Callbacks from the gateway to the placing component; the defaults do nothing.
 
-    ``ask`` asks a placer and returns whether it was asked, ``read_origin`` returns the
-    Origin of choices made here, ``note_started`` and ``note_ended`` report a placed
-    request's first byte and end.
+    ``request_placement`` asks a placer and returns whether it was asked, ``get_origin``
+    returns the PlacementOrigin of choices made here, ``report_started`` and
+    ``report_ended`` report a placed request's first byte and end.
     """
 
-    ask: Callable = lambda relay, now: False
-    read_origin: Callable = lambda: None
-    note_started: Callable = lambda relay: None
-    note_ended: Callable = lambda relay, failed: None
+    request_placement: Callable = lambda relay, now: False
+    get_origin: Callable = lambda: None
+    report_started: Callable = lambda relay: None
+    report_ended: Callable = lambda relay, failed: None
 
 
 def make_ask(number, cfg, relay, excluded, now):
@@ -88,7 +88,7 @@
     demand = relay.demand
     return Ask(
         number,
-        relay.pool.traits.name,
+        relay.pool.spec.name,
         cfg.data_centre,
         demand.prompt_tokens,
         demand.output_tokens,
@@ -111,15 +111,18 @@
     )
 
 
-def order_placers(ranked, near):
+def order_placers(ranked, same_centre):
     """Return the placers' names in the order in which an instance asks them.
 
-    ``ranked`` is the common order of all instances, ``near`` the names in the asking
-    instance's data centre. The first of ``ranked`` leads; those in ``near`` follow,
-    since a data centre is usually cut off from the others as a whole.
+    ``ranked`` is the common order of all instances, ``same_centre`` the names in the
+    asking instance's data centre. The first of ``ranked`` is asked first; the instances
+    in ``same_centre`` follow, since a data centre is usually cut off from the others as
+    a whole.
     """
     first = ranked[:1]
-    return list(dict.fromkeys([*first, *(n for n in ranked if n in near), *ranked]))
+    return list(
+        dict.fromkeys([*first, *(n for n in ranked if n in same_centre), *ranked])
+    )
 
 
 class PlacerSelector:
--- a/src/chervilwing/platform/documents.py
+++ b/src/chervilwing/platform/documents.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ..addresses import parse_address
-from ..coordination import Sources
+from ..coordination import StoreLayout
 from ..exceptions import BadConfiguration
 from ..registrations import Registration
 from ..rollouts import RolloutOrder
@@ -14,10 +14,10 @@
     NON_IDEMPOTENT,
     STREAM,
     CallerLimits,
-    EngineTraits,
-    FleetTraits,
+    EngineSpec,
+    FleetSpec,
     Organisation,
-    PoolTraits,
+    PoolSpec,
     Route,
     RoutingDocument,
     Target,
@@ -57,9 +57,9 @@
 
 
 def read_pool(value):
-    """Return the PoolTraits of an entry of ``services``."""
+    """Return the PoolSpec of an entry of ``services``."""
     engine, scale = value.get("engine"), value.get("scale")
-    return PoolTraits(
+    return PoolSpec(
         value["name"],
         value.get("maxConns", 64),
         read_engine(engine) if engine else None,
@@ -68,8 +68,8 @@
 
 
 def read_engine(value):
-    """Return the EngineTraits of ``engine``."""
-    return EngineTraits(
+    """Return the EngineSpec of ``engine``."""
+    return EngineSpec(
         value["slots"],
         value["kvCapacity"],
         value.get("kvTokenBytes", 0.0),
@@ -78,8 +78,8 @@
 
 
 def read_fleet(value):
-    """Return the FleetTraits of ``scale``; ``min`` and ``max`` are per data centre."""
-    return FleetTraits(
+    """Return the FleetSpec of ``scale``; ``min`` and ``max`` are per data centre."""
+    return FleetSpec(
         value["min"],
         value["max"],
         value.get("bootTimeS", 0.0),
@@ -113,7 +113,10 @@
 
 
 def read_document(key, data):
-    """Return the RoutingDocument, None for another key, or raise BadConfiguration."""
+    """Return the RoutingDocument, or None if the key is not DOCUMENT_KEY.
+
+    Raise BadConfiguration if it is invalid.
+    """
     if key != DOCUMENT_KEY:
         return None
     try:
@@ -130,7 +133,9 @@
 
 
 class RegistrationEntry(msgspec.Struct):
-    """Registration entry that an upstream writes; other types make it invalid.
+    """Registration entry written by an upstream.
+
+    A field of another type makes the entry invalid.
 
     ``coldLeftMs`` is how much longer the upstream is slow after its start, ``seq``
     counts the orders that it has accepted, ``leaves_ms`` is the time until a reclaimed
@@ -180,7 +185,7 @@
 
 
 class RolloutEntry(msgspec.Struct):
-    """Roll-out order of an operator; the service's name is the last part of its key.
+    """Roll-out order of an operator; the service's name is the last part of the key.
 
     ``target`` is the version to which all traffic of the service is to move.
     """
@@ -193,7 +198,10 @@
 
 
 def read_order(key, data):
-    """Return the RolloutOrder, None for another key, or raise BadConfiguration."""
+    """Return the RolloutOrder, or None if the key is not that of a roll-out order.
+
+    Raise BadConfiguration if it is invalid.
+    """
     if not key.startswith(ROLLOUT_ORDER_PREFIX):
         return None
     try:
@@ -210,7 +218,7 @@
     return (ROLLOUT_STATUS_PREFIX + pool, value, 0)
 
 
-SOURCES = Sources(
+SOURCES = StoreLayout(
     "op/",
     REGISTRATION_PREFIX,
     read_document,
--- a/src/chervilwing/prompt_caches.py
+++ b/src/chervilwing/prompt_caches.py
@@ -8,19 +8,19 @@
 from collections import OrderedDict, deque
 from typing import NamedTuple
 
-# Fewest shared tokens of a prompt that are worth reporting. Most of hundreds of
-# requests per second are short; a report takes about 25 bytes in every answer between
-# instances, while an engine reads fewer tokens than these in 20 ms.
+# Fewest shared tokens of a prompt that is reported. Most of hundreds of requests per
+# second have fewer. An engine reads such a prompt in 20 ms, while each report adds
+# about 25 bytes to every answer between instances.
 MIN_REPORTED_TOKENS = 1000
-# Seconds for which a sent prompt is reported: enough for two exchanges in each of two
-# groups and a lost one.
-TOLD_FOR = 1.5
+# Seconds for which a sent prompt is reported: long enough for two exchanges within the
+# sender's group and two within the receiver's, even if one of them is lost.
+PROMPT_REPORT_SECONDS = 1.5
 # Fraction of an engine's memory assumed to hold parts that later requests share; the
 # rest holds the own parts of single requests and generated tokens.
 SHARED_FRACTION = 0.5
 
 
-class Placement(NamedTuple):
+class CachedPrompt(NamedTuple):
     """The leading parts of a prompt that was sent to an upstream.
 
     ``part`` is the name of the last of these parts, ``tokens`` the token count of all.
@@ -45,12 +45,12 @@
             self._add_part(upstream, part.name, part.tokens, memory_tokens)
         tokens = sum(part.tokens for part in parts)
         if tokens >= MIN_REPORTED_TOKENS:
-            self._recent.append((now, Placement(upstream, parts[-1].name, tokens)))
+            self._recent.append((now, CachedPrompt(upstream, parts[-1].name, tokens)))
 
-    def add_reported(self, placements, memory_tokens):
+    def add_reported(self, cached_prompts, memory_tokens):
         """Record what other instances recently sent; repeated reports are harmless."""
-        for placement in placements:
-            self._add_part(*placement, memory_tokens)
+        for cached_prompt in cached_prompts:
+            self._add_part(*cached_prompt, memory_tokens)
 
     def remove_upstream(self, upstream):
         """Remove an upstream that is gone, as its cache is gone too."""
@@ -58,10 +58,10 @@
         self._sizes.pop(upstream, None)
 
     def list_recent(self, now):
-        """Return the recent Placements to report to other instances."""
-        while self._recent and now - self._recent[0][0] > TOLD_FOR:
+        """Return the recent CachedPrompts to report to other instances."""
+        while self._recent and now - self._recent[0][0] > PROMPT_REPORT_SECONDS:
             self._recent.popleft()
-        return [placement for _, placement in self._recent]
+        return [cached_prompt for _, cached_prompt in self._recent]
 
     def count_cached(self, upstream, parts):
         """Return how many leading tokens of these parts an upstream has cached.
--- a/src/chervilwing/registrations.py
+++ b/src/chervilwing/registrations.py
@@ -5,9 +5,9 @@
 from .models import Address
 
 # Seconds after the store's return for which lapsed entries are kept. The platform
-# promises that upstreams write them again within about two seconds; what is missing
-# then is gone. Slightly less than 2 s, because an upstream that left at the store's
-# return must get no requests two seconds later.
+# promises that upstreams write them again within about two seconds; an upstream whose
+# entry is still missing then is gone. Slightly less than 2 s, because an upstream that
+# left at the store's return must get no requests two seconds later.
 LAPSE_GRACE = 1.8
 
 
@@ -36,18 +36,18 @@
     """All known upstreams by name; times are seconds on one clock."""
 
     def __init__(self):
-        self.members = {}
+        self.upstreams = {}
         self._missing = {}
 
-    def put(self, registration):
-        """Apply a new or changed registration; return the one that it ends, or None.
+    def add(self, registration):
+        """Apply a registration; return the one of a replaced process, or None.
 
         An upstream may restart under its name. Its cached prompts are gone then, and
         requests sent over connections to the previous process would be lost.
         """
         self._missing.pop(registration.name, None)
-        known = self.members.get(registration.name)
-        self.members[registration.name] = registration
+        known = self.upstreams.get(registration.name)
+        self.upstreams[registration.name] = registration
         if known is None or known.started_at == registration.started_at:
             return None
         return known
@@ -56,11 +56,12 @@
         """Apply the removal of an entry; return whether its upstream is gone now.
 
         While the store is away, entries lapse because living upstreams can't renew
-        them. Such an upstream is kept until LAPSE_GRACE after the store's return: if
-        dropped at once, a whole pool would vanish and every caller be refused. Kept
-        longer, an upstream that really left would still get requests when it ends.
+        them. Such an upstream is kept until LAPSE_GRACE seconds after the store's
+        return. If it were dropped at once, a whole pool would vanish and every caller
+        would be refused; if it were kept longer, an upstream that really left would
+        still get requests when it ends.
         """
-        if name not in self.members:
+        if name not in self.upstreams:
             return False
         if now < regained_at + LAPSE_GRACE:
             self._missing[name] = regained_at + LAPSE_GRACE
@@ -71,7 +72,7 @@
     def drop(self, name):
         """Remove an entry at once."""
         self._missing.pop(name, None)
-        self.members.pop(name, None)
+        self.upstreams.pop(name, None)
 
     def expire(self, now):
         """Drop the entries that did not return in time; return their names."""
--- a/src/chervilwing/relays.py
+++ b/src/chervilwing/relays.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from .events import EventReader
-from .fingerprints import fingerprint_repeats
+from .fingerprints import make_retry_fingerprint
 
 # Bytes of an answer that are buffered until it is complete, so that a broken answer can
 # be retried or refused and the caller never receives part of it. Usual answers have
@@ -11,7 +11,7 @@
 MAX_BUFFERED_BYTES = 262_144
 
 
-# Kind of scope of a refusal that concerns one customer only.
+# ``Scope.kind`` of a refusal that concerns one customer only.
 CUSTOMER_SCOPE = "customer"
 
 
@@ -48,8 +48,8 @@
 class Relay:
     """State of one request between its caller and its upstreams.
 
-    ``may_have_run`` is set by the first attempt that is not known to have not run; from
-    then on no error may state that the request has not run.
+    ``may_have_run`` is set once an upstream may have run the request; from then on no
+    error may state that it has not run.
     """
 
     __slots__ = (
@@ -73,14 +73,14 @@
         "limit",
         "may_have_run",
         "organisation",
-        "over",
+        "ended",
         "pool",
         "received_at",
         "route",
         "sent_at",
-        "station",
+        "upstream_state",
         "first_byte_at",
-        "ticket",
+        "placement_id",
         "tried_upstreams",
     )
 
@@ -93,17 +93,17 @@
         self.received_at = now
         self.deadline = demand.deadline
         self.headers = exchange.req.headers
-        self.fingerprint = fingerprint_repeats(exchange.req, self.name)
+        self.fingerprint = make_retry_fingerprint(exchange.req, self.organisation_name)
         # Random number from 0 to 1 that decides whether a request is sent to a version
         # that is being rolled out.
         self.rollout_draw = 1.0
         self.tried_upstreams = set()
         self.attempts = 0
         self.call = None
-        self.station = None
+        self.upstream_state = None
         # Identifies this request to the instance that chose its upstream; None if this
         # instance did.
-        self.ticket = None
+        self.placement_id = None
         self.estimate = None
         self.sent_at = now
         self.first_byte_at = None
@@ -121,10 +121,10 @@
         self.cost = 0.0
         # When the cost was charged, None before that.
         self.charged_at = None
-        self.over = False
+        self.ended = False
 
     @property
-    def name(self):
+    def organisation_name(self):
         """Return the organisation's name, or an empty text without one."""
         return self.organisation.name if self.organisation else ""
 
@@ -152,9 +152,9 @@
     source = estimate.source if estimate else None
     return RequestLogLine(
         request=relay.demand.request_id,
-        customer=relay.name,
+        customer=relay.organisation_name,
         route=relay.route.name,
-        upstream=relay.station.registration.name if relay.station else "",
+        upstream=relay.upstream_state.registration.name if relay.upstream_state else "",
         tries=relay.attempts,
         outcome=outcome,
         cause=cause,
--- a/src/chervilwing/neighbours.py
+++ b/src/chervilwing/report_exchange.py
@@ -1,6 +1,7 @@
 """Queries and replies between instances: the store's contents, loads, usage.
 
-The first living instance of a group leads it: it watches the store and adds up figures.
+The first living instance of a group leads it: it watches the store and adds up the
+reports.
 """
 
 import time
@@ -8,24 +9,12 @@
 from circuits.core import BaseComponent, handler
 
 from .clocks import read_boottime
-from .fanout import (
-    ALL_LEADERS_WATCH_AGE,
-    MAX_WATCHERS,
-    REACTION_TIME,
-    Fanout,
-    arrange,
-    compute_query_interval,
-    rank,
-)
-from .items import Item
-from .logs import log_event
-from .mirrors import News
-from .tallies import (
+from .instance_reports import (
     REPORT_TIMEOUT,
     SUM_INTERVAL,
+    CachedPrompts,
     Counts,
     InstanceReport,
-    Placements,
     ReportReply,
     ReportSums,
     add_counts,
@@ -34,13 +23,26 @@
     subtract_counts,
     sum_loads,
 )
+from .leader_queries import (
+    ALL_LEADERS_WATCH_AGE,
+    MAX_WATCHERS,
+    REACTION_TIME,
+    LeaderQueries,
+    compute_query_interval,
+    form_groups,
+    rank_leaders,
+)
+from .logs import log_event
+from .mirrors import News
+from .store_calls import Item
 from .usage import name_process
 
 # Kinds of datagrams.
 QUERY = 1
 REPLY = 2
-# Seconds by which each rank in a group delays its claim of a vacant duty, and the
-# longest delay: a claim is known to the others after two queries.
+# An instance delays its claim of the vacant duties by this many seconds for each
+# instance that ranks before it in its group, up to the maximum: the other instances
+# learn of a claim after two queries.
 CLAIM_DELAY_STEP = 0.15
 MAX_CLAIM_DELAY = 1.5
 # Seconds for which an instance that queried this one may be queried in turn. The lease
@@ -51,17 +53,17 @@
 FALLBACK = ""
 
 
-def read_news(age, regained, revision, items, more, keys):
+def read_news(age, seconds_since_regained, revision, items, more, keys):
     """Return the News decoded from a datagram."""
     if items is not None:
         items = tuple(Item(*item) for item in items)
-    return News(age, regained, revision, items, more, keys)
+    return News(age, seconds_since_regained, revision, items, more, keys)
 
 
-class Neighbours(BaseComponent):
+class ReportExchange(BaseComponent):
     """Query the instance that watches the store, and answer queries of others."""
 
-    channel = "neighbours"
+    channel = "report-exchange"
 
     def __init__(self, cfg, datagrams, coordinator, gateway, parts, agreed_time):
         super().__init__()
@@ -82,16 +84,20 @@
         self._peers_version = None
         self._max_age = min(cfg.apply_bound, cfg.leave_bound) - REACTION_TIME
         # Queries to the instance that leads this one's group.
-        self._leader = Fanout(self._max_age)
+        self._leader = LeaderQueries(self._max_age)
         # Queries to a fallback that may know the state of the store where the leader
         # doesn't.
-        self._fallback = Fanout(self._max_age)
+        self._fallback = LeaderQueries(self._max_age)
         # Address and time of the last query from, or fallback reply by, each instance.
         self._queriers = {}
-        # Queries to each other group; used while this instance leads.
-        self._others = {}
+        # Queries to the leaders of the other groups, by group; used while this instance
+        # leads.
+        self._queries_by_group = {}
         self._group_sums, self._other_sums = ReportSums(), ReportSums()
-        self._group_placements, self._other_placements = Placements(), Placements()
+        self._group_cached_prompts, self._other_cached_prompts = (
+            CachedPrompts(),
+            CachedPrompts(),
+        )
         self._applied_at = float("-inf")
         # The report sent with the last query to each group.
         self._sent_reports = {}
@@ -103,14 +109,14 @@
         now = read_boottime()
         self._form_groups()
         self._choose_targets(now)
-        if not self.leads:
+        if not self.is_leader:
             self._query(self._group, self._leader, now)
             return
         self._query_others(now)
         self._apply_own_report(now)
 
     @property
-    def leads(self):
+    def is_leader(self):
         """Return whether this instance leads its group."""
         return self._leader.target is None
 
@@ -129,7 +135,7 @@
         for name, peer in peers.items():
             centres.setdefault(peer.data_centre, []).append(name)
         self._links = self._coordinator.list_links()
-        self._groups = arrange(centres, self._links)
+        self._groups = form_groups(centres, self._links)
         self._group = next(
             group for group, names in self._groups.items() if self._cfg.name in names
         )
@@ -137,21 +143,23 @@
     def _choose_targets(self, now):
         """Choose whom to query, and whether this instance's own store calls may pause.
 
-        An instance whose leader is cut off from the store queries those before it in
-        rank; the first of these calls the store itself. An instance that can't reach
-        the store itself queries any instance of its group.
+        If the leader is cut off from the store, an instance also queries another one
+        that ranks before it. The second in rank has none to query, so it calls the
+        store itself. An instance that can't reach the store queries any instance of its
+        group.
         """
         names = self._groups[self._group]
         rank_in_group = names.index(self._cfg.name)
         claim_delay = min(MAX_CLAIM_DELAY, rank_in_group * CLAIM_DELAY_STEP)
-        self._coordinator.tenure.claim_delay = claim_delay
+        self._coordinator.duty_lease.claim_delay = claim_delay
         before = self._leader.target
         leader = self._leader.choose(names[:rank_in_group], now)
         if leader != before:
             log_event("leader followed", leader=leader or "", was=before or "")
         if leader is None:
             informed = any(
-                self._others[group].fresh for group in self._list_watching_groups()
+                self._queries_by_group[group].fresh
+                for group in self._list_watching_groups()
             )
         else:
             informed = self._leader.fresh
@@ -165,7 +173,7 @@
     def _query_fallback(self, names, rank_in_group, leader, now):
         """Query a fallback for the state of the store; return whether it is fresh.
 
-        While the store turns a leader away but serves its followers, all two dozen of
+        If the store refuses a leader's calls but serves its followers, all two dozen of
         them would otherwise watch the store themselves, with 150 calls a second.
         """
         if self._coordinator.unreachable:
@@ -180,11 +188,11 @@
         return self._fallback.fresh
 
     def _list_fallbacks(self, names, leader, now):
-        """Return who may know the state of the store: the group, and the queriers.
+        """Return the names that may know the store's state: the group and the queriers.
 
         A leader that is cut off before it learns of instances that started after it
-        knows no peer to query. It would accept a revoked key until it refuses all
-        callers, although a whole group that knows better keeps querying it.
+        knows no peer to query. It would accept a revoked key, and later refuse all
+        callers, although a whole group with fresh knowledge keeps querying it.
         """
         queriers = [
             n for n, (_, at) in self._queriers.items() if now - at <= QUERIER_LIFETIME
@@ -197,33 +205,39 @@
         return peer.address if peer else self._queriers[name][0]
 
     def _list_watching_groups(self):
-        """Return the groups whose leaders watch the store for this leader."""
+        """Return the groups whose leaders watch the store for this one, if any."""
         if self._max_age <= ALL_LEADERS_WATCH_AGE:
             return []
-        queried = {g: self._others[g] for g in self._groups if g in self._others}
+        queried = {
+            g: self._queries_by_group[g]
+            for g in self._groups
+            if g in self._queries_by_group
+        }
         targets = {item.target: group for group, item in queried.items() if item.target}
-        first = rank([self._cfg.name, *targets], self._links)[:MAX_WATCHERS]
+        first = rank_leaders([self._cfg.name, *targets], self._links)[:MAX_WATCHERS]
         return [] if self._cfg.name in first else [targets[name] for name in first]
 
     def _query_others(self, now):
         for group in self._groups.keys() - {self._group}:
-            fanout = self._others.setdefault(group, Fanout(self._max_age))
-            if fanout.choose(self._groups[group], now) is not None:
-                self._query(group, fanout, now)
+            queries = self._queries_by_group.setdefault(
+                group, LeaderQueries(self._max_age)
+            )
+            if queries.choose(self._groups[group], now) is not None:
+                self._query(group, queries, now)
 
-    def _query(self, group, fanout, now):
+    def _query(self, group, queries, now):
         count = len(self._groups[self._group])
-        if fanout is not self._leader:
+        if queries is not self._leader:
             # Each of the other leaders queries this one too.
             count = 2 * len(self._groups)
         interval = compute_query_interval(count)
-        number = fanout.next_question(now, interval)
+        number = queries.next_query(now, interval)
         if number is None:
             return
         report = self._sent_reports[group] = self._make_report()
         wants_news = group in (self._group, FALLBACK, *self._list_watching_groups())
         revisions = self._coordinator.list_revisions() if wants_news else None
-        address = self._find_address(fanout.target)
+        address = self._find_address(queries.target)
         self._datagrams.send(QUERY, (number, group, revisions, report), address)
 
     def _make_report(self):
@@ -231,8 +245,8 @@
         pools = self._gateway.pools
         in_flight = {}
         for pool in pools.values():
-            for name, station in pool.stations.items():
-                for placer, load in station.ledger.sum_by_placer().items():
+            for name, upstream_state in pool.upstream_states.items():
+                for placer, load in upstream_state.own_requests.sum_by_placer().items():
                     in_flight.setdefault(placer, {})[name] = load
         work = {name: pool.work for name, pool in pools.items() if pool.work}
         answers = dict(self._gateway.rollouts.answers)
@@ -244,11 +258,11 @@
             time.time(),
             counts,
             self._parts.list_unstored(),
-            self._list_placements(),
-            self._gateway.crashes.list_told(read_boottime()),
+            self._list_cached_prompts(),
+            self._gateway.crashes.list_reports(read_boottime()),
         )
 
-    def _list_placements(self):
+    def _list_cached_prompts(self):
         """Return the upstreams to which this instance recently sent long prompts."""
         now = read_boottime()
         pools = self._gateway.pools.values()
@@ -268,34 +282,34 @@
             self._group_sums.add_report(
                 report.name, report.incarnation, report.counts, now
             )
-            self._group_placements.hear(report.placements, now)
+            self._group_cached_prompts.record(report.cached_prompts, now)
         news = sums = None
         if revisions is not None and self._shares_store_state:
             news = self._coordinator.list_news(revisions, now)
-        if self.leads:
+        if self.is_leader:
             sums = (
                 self._sum_all(now) if same_group else self._group_sums.compute_sums(now)
             )
         at = self._parts.read_time()
         stored = self._parts.list_stored(report)
-        placements = self._group_placements.list(now)
+        cached_prompts = self._group_cached_prompts.list_recent(now)
         if same_group:
-            placements += self._other_placements.list(now)
-        crashes = self._gateway.crashes.list_told(now)
+            cached_prompts += self._other_cached_prompts.list_recent(now)
+        crashes = self._gateway.crashes.list_reports(now)
         reply = ReportReply(
             self._cfg.name,
             self._cfg.incarnation,
             at,
             sums,
             stored,
-            placements,
+            cached_prompts,
             crashes,
         )
         fields = (number, group, self._leader.target or "", news, reply)
         self._datagrams.send(REPLY, fields, address)
 
     def _sum_all(self, now):
-        """Return the figures of all instances."""
+        """Return the summed Counts of all instances."""
         return add_counts(
             self._group_sums.compute_sums(now), self._other_sums.compute_sums(now)
         )
@@ -303,35 +317,35 @@
     def _receive_reply(self, address, number, group, leader, news, reply):
         """Apply a reply."""
         now = read_boottime()
-        fanout = self._find_fanout(group)
-        if fanout is None:
+        queries = self._find_queries(group)
+        if queries is None:
             return
         news = [None if item is None else read_news(*item) for item in news or ()]
         age = self._coordinator.compute_age(news) if news else float("inf")
         more = any(item is not None and item.more for item in news)
-        query = fanout.receive(number, age, more, now)
+        query = queries.receive(number, age, more, now)
         if query is None:
             return
         if news:
             self._coordinator.apply_news(news, query.at, now)
         reply = read_reply(*reply)
         report = self._sent_reports[group]
-        self._apply_placements(reply.placements)
+        self._apply_cached_prompts(reply.cached_prompts)
         self._apply_crashes(reply.crashes, now)
         self._parts.mark_stored(report, reply.stored)
-        if fanout is self._fallback:
+        if queries is self._fallback:
             self._queriers[query.name] = (address, now)
-            if not fanout.fresh or not self._is_sufficient(news):
-                fanout.avoid_target(now)
+            if not queries.fresh or not self._is_sufficient(news):
+                queries.avoid_target(now)
         elif reply.sums is None:
-            fanout.prefer(leader, now)
-        elif fanout is self._leader:
+            queries.prefer(leader, now)
+        elif queries is self._leader:
             self._agreed_time.adopt(reply.time_of_day, now)
             others = subtract_counts(reply.sums, report.counts)
             self._apply_sums((reply.name, reply.incarnation), others, now)
         else:
             self._agreed_time.add_sample(reply.name, reply.time_of_day, now)
-            self._other_placements.hear(reply.placements, now)
+            self._other_cached_prompts.record(reply.cached_prompts, now)
             self._other_sums.add_report(
                 (group, reply.name), reply.incarnation, reply.sums, now
             )
@@ -342,26 +356,28 @@
         return listed or not self._coordinator.unreachable
 
     def _apply_crashes(self, crashes, now, same_group=False):
-        for news in crashes:
-            self._gateway.crashes.hear(news, now, same_group)
+        for report in crashes:
+            self._gateway.crashes.apply_reports(report, now, same_group)
 
-    def _apply_placements(self, placements):
+    def _apply_cached_prompts(self, cached_prompts):
         for pool in self._gateway.pools.values():
-            pool.learn(placements)
+            pool.add_reported_prompts(cached_prompts)
 
-    def _find_fanout(self, group):
+    def _find_queries(self, group):
         if group == FALLBACK:
             return self._fallback
-        return self._leader if group == self._group else self._others.get(group)
+        return (
+            self._leader if group == self._group else self._queries_by_group.get(group)
+        )
 
     def _apply_own_report(self, now):
-        """Apply the figures of all instances, as they were reported to this leader."""
+        """Apply the sums of all other instances' reports at this leader."""
         if now - self._applied_at < SUM_INTERVAL:
             return
         self._applied_at = now
         report = self._make_report()
-        self._group_placements.hear(report.placements, now)
-        self._apply_placements(self._group_placements.list(now))
+        self._group_cached_prompts.record(report.cached_prompts, now)
+        self._apply_cached_prompts(self._group_cached_prompts.list_recent(now))
         self._parts.add_report(report, same_group=True)
         self._group_sums.add_report(report.name, report.incarnation, report.counts, now)
         source = (self._cfg.name, self._cfg.incarnation)
@@ -377,7 +393,7 @@
         placed_elsewhere = sum_loads(
             loads for placer, loads in others.in_flight.items() if placer != placed_here
         )
-        self._gateway.rollouts.hear(source, others.answers)
+        self._gateway.rollouts.add_peer_answers(source, others.answers)
         for name, pool in self._gateway.pools.items():
-            pool.peers_work = {source: (source[1], others.work.get(name, 0.0))}
-            pool.hear(loads, until, placed_elsewhere)
+            pool.peer_work = {source: (source[1], others.work.get(name, 0.0))}
+            pool.set_peer_loads(loads, until, placed_elsewhere)
--- a/src/chervilwing/rollout_duty.py
+++ b/src/chervilwing/rollout_duty.py
@@ -1,9 +1,9 @@
-"""Decide on roll-outs and store the decisions, while this instance holds the duties."""
+"""Decide on roll-outs and store the decisions, on the holder of the duty lease."""
 
 from circuits.core import BaseComponent, handler
 
 from .clocks import read_boottime
-from .items import Committed
+from .instance_reports import add_totals
 from .logs import log_event
 from .rollouts import (
     Decision,
@@ -13,14 +13,14 @@
     split_answers,
     sum_answers,
 )
-from .tallies import add_totals
+from .store_calls import Committed
 
 # Seconds between two evaluations of the versions' answers.
 EVALUATE_INTERVAL = 0.5
 
 
 class RolloutDuty(BaseComponent):
-    """Advance each open order to its final state, one write at a time."""
+    """Advance each roll-out to its final state, one write at a time."""
 
     channel = "rollout-duty"
 
@@ -37,18 +37,22 @@
     @handler("tick", channel="*")
     def _on_tick(self):
         now = read_boottime()
-        if self._busy or now < self._next_evaluation or not self._rollouts.open:
+        if (
+            self._busy
+            or now < self._next_evaluation
+            or not self._rollouts.rollouts_by_pool
+        ):
             return
         self._next_evaluation = now + EVALUATE_INTERVAL
-        if self._coordinator.tenure.fence(now) is None:
+        if self._coordinator.duty_lease.fence(now) is None:
             return
-        for rollout in self._rollouts.open.values():
+        for rollout in self._rollouts.rollouts_by_pool.values():
             if self._advance(rollout):
                 return
 
     def _advance(self, rollout):
         """Write the next state of a roll-out; return whether there is one."""
-        answers = add_totals(self._rollouts.answers, self._rollouts.heard)
+        answers = add_totals(self._rollouts.answers, self._rollouts.peer_answers)
         tried, current = split_answers(answers, rollout)
         now = self._read_time()
         state = decide(rollout, tried, current, now)
@@ -68,7 +72,7 @@
         )
         status = self._write_status(rollout.order.pool, target, state)
         self._busy = True
-        self._coordinator.tenure.note_act(read_boottime())
+        self._coordinator.duty_lease.record_act(read_boottime())
         commit = make_commit(rollout, decision, status)
         self._store.submit(
             commit, lambda reply: self._written(rollout.order.pool, decision, reply)
@@ -80,6 +84,6 @@
         if isinstance(reply, Committed):
             self._rollouts.put_decision(pool, decision, reply.revision)
             return
-        # A decision of another instance, or one whose answer was lost, arrives by the
-        # watch.
+        # If another instance has decided, or the reply to a successful write was lost,
+        # the watch on the store delivers the decision.
         log_event("rollout not written", pool=pool, reply=type(reply).__name__)
--- a/src/chervilwing/rollouts.py
+++ b/src/chervilwing/rollouts.py
@@ -2,10 +2,10 @@
 
 An operator orders that a pool's work moves to a new version by a deadline. During the
 trial the new version gets a small fraction of the requests, drawn at random for each
-request, so that the fraction is bounded without coordination. The holder of the duties
-evaluates the answers that all instances saw and writes its decision to the store; a
-decision never returns to an earlier state. docs/design/ROLLOUTS.md has the bound, the
-statistical test and the alternatives.
+request, so that the fraction is bounded without coordination. The instance that holds
+the duty lease evaluates the answers that all instances received and writes its decision
+to the store; a decision never returns to an earlier state. docs/design/ROLLOUTS.md has
+the bound, the statistical test and the alternatives.
 """
 
 from math import comb
@@ -14,12 +14,12 @@
 import msgspec
 
 from .exceptions import BadConfiguration
-from .items import Commit
-from .tallies import grow
+from .instance_reports import add_growth
+from .store_calls import Commit
 
 DECISIONS = "chervilwing/instances-rollouts/"
-# Which answers a total counts: the field names of Answers.
-ALL, BAD = "count", "bad"
+# Kinds of totals, named after the fields of Answers to which they are added.
+COUNT_FIELD, BAD_FIELD = "count", "bad"
 # States of a decision, and for each the states that may follow it.
 RUNNING, SHIFTING = "running", "shifting"
 COMPLETED, ROLLED_BACK = "completed", "rolled_back"
@@ -33,14 +33,15 @@
 # it is drawn for each request, the fraction stays below that for any number of requests
 # and instances.
 TRIAL_FRACTION = 0.04
-# Fraction of all requests that may reach a bad version by the deadline, and the number
-# that is allowed on top.
+# Requests that may reach a bad version by the deadline: this fraction of all requests
+# plus this number.
 EXPOSED_FRACTION = 0.1
-EXPOSED_MORE = 40
+EXPOSED_ALLOWANCE = 40
 # Age in seconds from which the known decisions are too old to send trial requests.
 MAX_DECISION_AGE = 2.5
-# Seconds for which a new version gets no requests without an order: the watches of
-# orders and of upstreams deliver their changes with a smaller difference.
+# Seconds for which a new version without an order gets no requests. The watch on orders
+# may deliver the order later than the watch on upstreams delivers the version, but by
+# less than this.
 UNKNOWN_VERSION_WAIT = 2.0
 # Seconds for which work moves to the new version before the old one is stopped: all
 # instances know a decision within 1.3 s, and calls without a stream end soon after.
@@ -49,8 +50,8 @@
 DEADLINE_MARGIN = 0.5
 # Fewest answers of a new version for which it may be completed.
 MIN_ANSWERS = 10
-# Failure rate that is normal for any version, and the number of answers that this prior
-# counts for.
+# Failure rate expected of any version before it is measured, and the number of measured
+# answers that this expectation weighs as much as.
 BASE_FAILURE_RATE = 0.02
 PRIOR_ANSWERS = 20
 # P-values below which a version counts as bad: during the trial, where it is tested
@@ -59,8 +60,8 @@
 DOUBTFUL_P_VALUE = 0.01
 # Fewest failures on a route for which it is tested.
 MIN_FAILURES = 3
-# Number of failures from which a weaker suspicion suffices, and its p-value: soon after
-# that many failures, no request may be sent to a bad version.
+# From this number of failures on, a version counts as bad at this higher p-value: soon
+# after that many failures, no request may be sent to a bad version.
 MANY_FAILURES = 40
 MANY_FAILURES_P_VALUE = 0.1
 
@@ -209,68 +210,72 @@
     total = count + sum_answers(current).count
     rate = total / max(1.0, now - rollout.decision.began_at)
     more = rate * (left + DEADLINE_MARGIN)
-    return count + more <= EXPOSED_FRACTION * (total + more) + EXPOSED_MORE
+    return count + more <= EXPOSED_FRACTION * (total + more) + EXPOSED_ALLOWANCE
 
 
 class Rollouts:
     """State of all roll-outs at one instance; times are seconds on one clock.
 
     ``answers`` holds the number of answers that this instance saw since its start, by
-    encode_answer_key, and ``heard`` those of all other instances.
+    encode_answer_key, and ``peer_answers`` those of all other instances.
     """
 
     def __init__(self):
-        self.open = {}
+        self.rollouts_by_pool = {}
         self.answers = {}
-        self.heard = {}
+        self.peer_answers = {}
         # The last report of the other instances' totals: its source and the totals.
         self._last_report = (None, {})
         # When the known decisions were last up to date with the store.
-        self.as_of = float("-inf")
+        self.updated_at = float("-inf")
         self._decisions = {}
         # When each version was first seen, by pool and version.
         self._seen = {}
 
-    def note_version(self, pool, version, now):
+    def record_version(self, pool, version, now):
         """Record that an upstream of a pool has a version."""
         seen = self._seen.setdefault(pool, {})
         # The first version of a pool is not a trial.
         seen.setdefault(version, now if seen else float("-inf"))
 
     def put_order(self, order, revision):
-        """Store an operator's order, unless a newer one for its pool is known."""
-        known = self.open.get(order.pool)
+        """Store an operator's order, unless a newer order for its pool is known."""
+        known = self.rollouts_by_pool.get(order.pool)
         if known is None or known.revision < revision:
-            self.open[order.pool] = Rollout(order, revision)
+            self.rollouts_by_pool[order.pool] = Rollout(order, revision)
             self._update_rollout(order.pool)
 
     def put_decision(self, pool, decision, revision):
-        """Store a pool's decision as it is in the store, or None if there is none."""
+        """Apply the decision that the store holds for a pool; None if there is none."""
         self._decisions[pool] = (decision, revision)
         self._update_rollout(pool)
 
     def _update_rollout(self, pool):
-        rollout = self.open.get(pool)
+        rollout = self.rollouts_by_pool.get(pool)
         if rollout is None:
             return
         decision, decided_at = self._decisions.get(pool, (None, 0))
         if decision is not None and decision.order != rollout.revision:
             decision = None
-        self.open[pool] = rollout._replace(decision=decision, decided_at=decided_at)
+        self.rollouts_by_pool[pool] = rollout._replace(
+            decision=decision, decided_at=decided_at
+        )
 
-    def list_excluded(self, pool, stations, drawn, now):
+    def list_excluded(self, pool, upstream_states, drawn, now):
         """Return the names of the upstreams that a request must not be sent to.
 
         ``drawn`` is a random number from 0 to 1 for the request, or None for a retry,
         which is never part of a trial.
         """
-        rollout, seen = self.open.get(pool), self._seen.get(pool, {})
+        rollout, seen = self.rollouts_by_pool.get(pool), self._seen.get(pool, {})
         if rollout is None and len(seen) < 2:
             return frozenset()
         allowed = self._make_version_filter(rollout, seen, drawn, now)
-        names = {n for n, s in stations.items() if not allowed(s.registration.version)}
+        names = {
+            n for n, s in upstream_states.items() if not allowed(s.registration.version)
+        }
         refused = rollout is not None and self._get_state(rollout) == ROLLED_BACK
-        if len(names) == len(stations) and not refused:
+        if len(names) == len(upstream_states) and not refused:
             return frozenset()
         return frozenset(names)
 
@@ -282,7 +287,7 @@
         if rollout is None:
             return lambda version: now - seen.get(version, now) >= UNKNOWN_VERSION_WAIT
         target, state = rollout.order.target, self._get_state(rollout)
-        up_to_date = now - self.as_of <= MAX_DECISION_AGE
+        up_to_date = now - self.updated_at <= MAX_DECISION_AGE
         if state == COMPLETED or (state == SHIFTING and up_to_date):
             return lambda version: version == target
         trial = state == RUNNING and up_to_date and drawn is not None
@@ -291,16 +296,19 @@
         return lambda version: version != target
 
     @property
-    def undecided(self):
+    def has_undecided(self):
         """Return whether any order has no final decision yet."""
-        return any(NEXT_STATES[self._get_state(item)] for item in self.open.values())
+        return any(
+            NEXT_STATES[self._get_state(item)]
+            for item in self.rollouts_by_pool.values()
+        )
 
-    def is_watched(self, pool):
+    def is_in_trial(self, pool):
         """Return whether a pool has an order without a final decision."""
-        rollout = self.open.get(pool)
+        rollout = self.rollouts_by_pool.get(pool)
         return rollout is not None and bool(NEXT_STATES[self._get_state(rollout)])
 
-    def hear(self, source, answers):
+    def add_peer_answers(self, source, answers):
         """Add the other instances' new answers, from the totals of one source.
 
         A process that starts to add up totals doesn't know the earlier ones, and two
@@ -311,11 +319,11 @@
         last_source, last_answers = self._last_report
         self._last_report = (source, answers)
         if source == last_source:
-            grow(self.heard, last_answers, answers, 1.0)
+            add_growth(self.peer_answers, last_answers, answers, 1.0)
 
-    def note_answer(self, pool, version, route, bad):
+    def record_answer(self, pool, version, route, bad):
         """Count one answer of a version; ``bad`` if it failed or was too slow."""
-        for which in (ALL, BAD) if bad else (ALL,):
+        for which in (COUNT_FIELD, BAD_FIELD) if bad else (COUNT_FIELD,):
             name = encode_answer_key(pool, version, route, which)
             self.answers[name] = self.answers.get(name, 0.0) + 1
 
--- a/src/chervilwing/routing_files.py
+++ b/src/chervilwing/routing_files.py
@@ -10,9 +10,9 @@
     NON_IDEMPOTENT,
     STREAM,
     CallerLimits,
-    EngineTraits,
+    EngineSpec,
     Organisation,
-    PoolTraits,
+    PoolSpec,
     Route,
     RoutingDocument,
     Target,
@@ -34,16 +34,16 @@
     targets = tuple(map(read_target, value.pop("pools")))
     route = Route(targets=targets, **value)
     if route.kind not in KINDS:
-        raise ValueError(f"route {route.name}: kind is none of {', '.join(KINDS)}")
+        raise ValueError(f"route {route.name}: kind must be one of {', '.join(KINDS)}")
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
         raise ValueError(f"route {route.name}: prefix needs a slash at both ends")
     return route._replace(host=route.host.lower())
 
 
 def read_pool(value):
-    """Return the PoolTraits of an entry of ``[[pools]]``; ``engine`` is a subtable."""
+    """Return the PoolSpec of an entry of ``[[pools]]``; ``engine`` is a subtable."""
     engine = value.pop("engine", None)
-    return PoolTraits(engine=EngineTraits(**engine) if engine else None, **value)
+    return PoolSpec(engine=EngineSpec(**engine) if engine else None, **value)
 
 
 def read_organisation(value):
--- a/src/chervilwing/stored_crashes.py
+++ b/src/chervilwing/stored_crashes.py
@@ -7,14 +7,15 @@
 from typing import NamedTuple
 
 from .exceptions import BadConfiguration
-from .fingerprints import REPEAT_SIZE
+from .fingerprints import RETRY_DIGEST_SIZE
 
 # Prefix of the keys of crashes; the upstream and the writer follow.
 CRASHES = "chervilwing/instances-crashes/"
 # Seconds until a crash is written, so that the suspicions of other instances are
 # included and most requests that were in flight beside the cause have been answered.
 COLLECT_FOR = 2.0
-# The same for a crash of a request that is already suspected of another crash.
+# Seconds until a crash is written if one of its requests is already suspected of
+# another crash.
 COLLECT_REPEATED_FOR = 0.4
 # Seconds until a stored crash is rewritten without the requests cleared since: by the
 # instance that wrote it, and by other instances in case the writer is gone.
@@ -25,7 +26,7 @@
 KEEP_DUE_FOR = 3.0
 # Requests stored with one crash, so that a crash fits into one datagram.
 MAX_FINGERPRINTS = 128
-# Number of crashes in the store from which no more are added.
+# Number of crashes in the store at which no further crashes are added.
 MAX_STORED = 256
 
 
@@ -187,8 +188,8 @@
 def decode_crash(key, data):
     """Return the StoredCrash of a key and its value, or raise BadConfiguration."""
     upstream, _, writer = key.removeprefix(CRASHES).rpartition("/")
-    if not upstream or not writer or len(data) % REPEAT_SIZE:
+    if not upstream or not writer or len(data) % RETRY_DIGEST_SIZE:
         raise BadConfiguration(f"{key}: no crash of an upstream")
-    starts = range(0, len(data), REPEAT_SIZE)
-    found = tuple(data[start : start + REPEAT_SIZE].hex() for start in starts)
+    starts = range(0, len(data), RETRY_DIGEST_SIZE)
+    found = tuple(data[start : start + RETRY_DIGEST_SIZE].hex() for start in starts)
     return StoredCrash(upstream, found)
--- a/src/chervilwing/upstream_limits.py
+++ b/src/chervilwing/upstream_limits.py
@@ -22,8 +22,8 @@
 SEEK_TIME = 1.0
 # Seconds for which the end of a limit is reported, so that all instances receive it.
 KEEP_ENDED_FOR = 10.0
-# Seconds for which a limit is kept after its upstream's registration, which may lapse
-# while the store is unavailable.
+# Seconds for which a limit is kept after its upstream's registration has lapsed. A
+# registration may lapse while the store is unavailable, although the upstream runs.
 KEEP_UNREGISTERED_FOR = 30.0
 # Seconds between two checks for expired limits.
 EXPIRE_INTERVAL = 1.0
@@ -81,12 +81,13 @@
         self._registered_at = {}
         self._next_expire = float("-inf")
 
-    def note_answer(self, upstream, limit, sent_at, now):
-        """Update an upstream's limit from an answer; see Verdict.
+    def record_answer(self, upstream, limit, sent_at, now):
+        """Update an upstream's limit from an answer.
 
-        ``limit`` is infinity if the answer states that there is none, and None if it
-        says nothing. Answers may overtake each other, so an answer without a limit ends
-        it only if its request was sent after the limit became known.
+        ``limit`` is that of dialects.AnswerStatus: infinity if the answer states that
+        there is no limit, and None if it states nothing. Answers may overtake each
+        other, so an answer without a limit ends a limit only if its request was sent
+        after the limit became known.
         """
         if limit is None:
             return
@@ -95,17 +96,17 @@
         elif upstream in self._limits:
             self._update(upstream, NamedLimit(inf, sent_at), now)
 
-    def note_restarted(self, upstream, now):
+    def record_restart(self, upstream, now):
         """End the limit of an upstream that has restarted."""
         if upstream in self._limits:
             self._update(upstream, NamedLimit(inf, now), now)
 
-    def list_told(self, now):
+    def list_reports(self, now):
         """Return the limits to report: triples of upstream, rate and age in seconds."""
         return [(name, limit.rate, now - limit.at) for name, limit in self._items()]
 
-    def hear(self, reported, now):
-        """Merge the limits that another instance's ``list_told`` returned."""
+    def merge_reports(self, reported, now):
+        """Merge the limits that another instance's ``list_reports`` returned."""
         for upstream, rate, age in reported:
             if rate < inf or upstream in self._limits:
                 self._update(upstream, NamedLimit(rate, now - age), now)
@@ -114,14 +115,14 @@
         """Return whether an upstream has a limit."""
         return upstream in self._accounts
 
-    def list_exhausted(self, stations, now):
+    def list_exhausted(self, upstream_states, now):
         """Return the names of the upstreams whose limit allows no further request."""
         if not self._accounts:
             return NO_UPSTREAMS
-        limited = stations.keys() & self._accounts.keys()
-        return {name for name in limited if not self._covers(name, now)}
+        limited = upstream_states.keys() & self._accounts.keys()
+        return {name for name in limited if not self._has_credit(name, now)}
 
-    def seek(self, upstreams, now):
+    def request_credit(self, upstreams, now):
         """Ask for credit for these upstreams with the next claims.
 
         Only the instance that chooses for all may call this. A request that no upstream
@@ -131,22 +132,22 @@
         """
         for upstream in upstreams:
             account = self._accounts[upstream]
-            self._allowances.seek(account, REQUEST_COST, now + SEEK_TIME)
+            self._allowances.request_credit(account, REQUEST_COST, now + SEEK_TIME)
 
-    def _covers(self, upstream, now):
-        return self._allowances.covers(self._accounts[upstream], REQUEST_COST, now)
+    def _has_credit(self, upstream, now):
+        return self._allowances.has_credit(self._accounts[upstream], REQUEST_COST, now)
 
     def charge(self, upstream, now):
         """Spend credit for one request; return False if there was not enough."""
         account = self._accounts.get(upstream)
         return account is None or self._allowances.charge(account, REQUEST_COST, now)
 
-    def measure_wait(self, stations):
+    def get_retry_after(self, upstream_states):
         """Return the seconds until one of the upstreams has credit for a request.
 
         Return None if none of them has a limit.
         """
-        limited = stations.keys() & self._accounts.keys()
+        limited = upstream_states.keys() & self._accounts.keys()
         if not limited:
             return None
         rate = sum(self._accounts[upstream].rate for upstream in limited)
@@ -197,7 +198,7 @@
     def _lift(self, upstream):
         account = self._accounts.pop(upstream, None)
         if account is not None:
-            self._allowances.lift_limit(account)
+            self._allowances.remove_limit(account)
 
     def _forget(self, upstream):
         self._lift(upstream)
--- a/src/chervilwing/usage_reports.py
+++ b/src/chervilwing/usage_reports.py
@@ -5,9 +5,9 @@
 from circuits.core import BaseComponent, handler
 
 from .clocks import read_boottime
-from .duties import Accepted, Outdated, ReportUsage
-from .items import Commit, Committed, Conflict, ListItems, Page
+from .duty_calls import Accepted, Outdated, ReportUsage
 from .logs import log_event
+from .store_calls import Commit, Committed, Conflict, ListItems, Page
 from .usage import (
     MAX_WINDOWS,
     ReceivedCounts,
@@ -28,9 +28,9 @@
 # last counts have been reported, and clocks differ by less than this.
 WRITE_DELAY = 0.9
 # Seconds after a window's end from which the counts are added up, and after which
-# missing ones are given up. The shorter timeout applies where only instances are
-# missing whose counts were reported to this one. A report is due ten seconds after the
-# end.
+# missing counts are no longer waited for. The shorter timeout applies where all missing
+# counts were at least reported to this instance. A report is due ten seconds after the
+# window's end.
 COLLECT_DELAY = 1.5
 MISSING_TIMEOUT = 6.5
 REPORTED_TIMEOUT = 3.5
@@ -53,7 +53,7 @@
 class UsageParts(BaseComponent):
     """Count requests that run here, and store the counts with those of other instances.
 
-    ``stores`` returns whether this instance stores; otherwise it only reports its
+    ``is_storing`` returns whether this instance stores; otherwise it only reports its
     counts to another one that does.
     """
 
@@ -62,13 +62,14 @@
     def __init__(self, cfg, store, agreed_time):
         super().__init__()
         self.counter = UsageCounter(cfg.usage_window)
-        self.stores = lambda: True
+        self.is_storing = lambda: True
         self._store = store
         self._agreed_time = agreed_time
-        # A process's counts never replace those of the previous process.
+        # The name includes the incarnation, so that a restarted instance doesn't
+        # overwrite the counts of its previous process.
         self._process = name_process(cfg.name, cfg.incarnation)
-        # Counts of the instances for which this one stores, itself included, and of
-        # others.
+        # Counts of this instance's group, which this instance may store, and counts of
+        # other groups.
         self._group_counts = ReceivedCounts()
         self._other_counts = ReceivedCounts()
         self._stored = {}
@@ -79,7 +80,7 @@
         """Return the Unix time in seconds that the instances agree on."""
         return self._agreed_time.read(time.time(), read_boottime())
 
-    def count(self, organisation, seconds_ago):
+    def count_request(self, organisation, seconds_ago):
         """Count a request that began to run ``seconds_ago``."""
         self.counter.count(organisation, self.read_time() - seconds_ago)
 
@@ -112,15 +113,15 @@
             (self._group_counts.find(window), self._other_counts.find(window))
         )
 
-    def count_heard(self):
-        """Return the number of requests counted here or reported to this instance."""
+    def count_reported(self):
+        """Return the number of requests counted in the windows kept for the group."""
         return self._group_counts.count()
 
     def is_idle(self):
         """Return whether no write of counts is pending."""
         return not self._pending_writes
 
-    def write_open_windows(self):
+    def write_unstored(self):
         """Write all unstored counts, the present window's too, before exit."""
         windows = self.list_unstored()
         self._group_counts.add(self._process, windows)
@@ -130,7 +131,7 @@
     @handler("tick", channel="*")
     def _on_tick(self):
         now = read_boottime()
-        if self._pending_writes or now < self._retry_at or not self.stores():
+        if self._pending_writes or now < self._retry_at or not self.is_storing():
             return
         window = self._find_due(self.read_time())
         if window is not None:
@@ -193,7 +194,7 @@
     @handler("tick", channel="*")
     def _on_tick(self):
         now = read_boottime()
-        fence = self._coordinator.tenure.fence(now)
+        fence = self._coordinator.duty_lease.fence(now)
         if fence != self._fence:
             self._fence, self._report_read = fence, False
         if fence is None or self._call_pending or now < self._retry_at:
@@ -277,8 +278,9 @@
         missing = self._coordinator.list_recent_instances() - list_instance_names(
             stored
         )
-        # An instance that reported may still store its last counts; one that didn't may
-        # return.
+        # Counts that were reported here can be used although they aren't stored, so
+        # their instances are waited for only briefly. Instances whose counts are
+        # unknown may return and get more time.
         timeout = (
             MISSING_TIMEOUT
             if missing - list_instance_names(unstored)
@@ -323,7 +325,7 @@
 
     def _send(self, now):
         self._call_pending = True
-        self._coordinator.tenure.note_act(now)
+        self._coordinator.duty_lease.record_act(now)
         call = ReportUsage(
             self._report.window,
             self._report.counts,
@@ -341,7 +343,7 @@
             log_event(
                 "fencing number outdated", fence=self._fence or 0, detail=reply.text
             )
-            self._coordinator.tenure.drop()
+            self._coordinator.duty_lease.give_up()
         else:
             log_event("usage not reported", reply=type(reply).__name__)
             self._retry_later()
--- a/tests/credit_fleet.py
+++ b/tests/credit_fleet.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from chervilwing.allowances import CLAIM_INTERVAL, Allowances
-from chervilwing.parents import CLAIM_RETRY_INTERVAL, ParentChoice
+from chervilwing.credit_parents import CLAIM_RETRY_INTERVAL, ParentChoice
 from chervilwing.routing import Organisation
 from chervilwing.upstream_limits import UpstreamLimits
 
@@ -56,7 +56,7 @@
         self.allowances.configure(organisations, now)
         self.limits = UpstreamLimits(self.allowances)
         if instance_count:
-            self.allowances.set_known(instance_count, now)
+            self.allowances.set_instance_count(instance_count, now)
         self.choice = ParentChoice()
         self.claimed_at = now - CLAIM_INTERVAL
         self.lacks_credit = False
@@ -67,11 +67,11 @@
 class Fleet:
     """Instances by name, the network between them, and the outcomes of requests."""
 
-    def __init__(self, size, traffic, seed, loss=0.001, slow=0.001):
+    def __init__(self, size, traffic, seed, loss=0.001, disorder=0.001):
         self.rng = random.Random(seed)
         self.traffic = traffic
         self.now = 0.0
-        self.loss, self.slow = loss, slow
+        self.loss, self.disorder = loss, disorder
         self.nodes = {}
         self.side = {}
         self.ran = []
@@ -136,12 +136,14 @@
 
     def _choose(self, node):
         names = self._rank()
-        all_names = names[: names.index(node.name)]
-        group_names = [
-            name for name in all_names[-GROUP:] if name // GROUP == node.name // GROUP
+        all_candidates = names[: names.index(node.name)]
+        group_candidates = [
+            name
+            for name in all_candidates[-GROUP:]
+            if name // GROUP == node.name // GROUP
         ]
-        node.choice.choose(group_names, all_names, self.now)
-        for name in node.choice.list_probes(group_names, all_names, self.now):
+        node.choice.choose(group_candidates, all_candidates, self.now)
+        for name in node.choice.list_probes(group_candidates, all_candidates, self.now):
             self._send_datagram(node.name, name, self._receive_probe, None)
 
     def _rank(self):
@@ -158,7 +160,7 @@
         node.lacks_credit = False
         node.choice.record_claim(self.now)
         claim = node.allowances.claim(parent, self.now)
-        message = (node.limits.list_told(self.now), claim)
+        message = (node.limits.list_reports(self.now), claim)
         self._send_datagram(node.name, parent, self._receive_claim, message)
 
     def _receive_probe(self, node, sender, message):
@@ -169,11 +171,11 @@
 
     def _send_datagram(self, sender, name, receive, message):
         """Send a datagram that may be lost, duplicated or delayed."""
-        for _ in range(2 if self.rng.random() < self.slow else 1):
+        for _ in range(2 if self.rng.random() < self.disorder else 1):
             if self.rng.random() < self.loss:
                 continue
             delay = self.rng.uniform(0.0005, 0.005)
-            if self.rng.random() < self.slow:
+            if self.rng.random() < self.disorder:
                 delay = self.rng.uniform(0.02, 0.7)
             datagram = (
                 self.now + delay,
@@ -202,19 +204,19 @@
 
     def _receive_claim(self, node, sender, message):
         limits, claim = message
-        node.limits.hear(limits, self.now)
+        node.limits.merge_reports(limits, self.now)
         grant = node.allowances.receive_claim(claim, self.now)
         self._grant(node, sender, grant)
         if node.allowances.lacks_credit:
             self._claim_soon(node)
 
     def _grant(self, node, name, grant):
-        message = (node.limits.list_told(self.now), grant)
+        message = (node.limits.list_reports(self.now), grant)
         self._send_datagram(node.name, name, self._receive_grant, message)
 
     def _receive_grant(self, node, sender, message):
         limits, grant = message
-        node.limits.hear(limits, self.now)
+        node.limits.merge_reports(limits, self.now)
         node.choice.record_answer(sender, self.now)
         if not node.allowances.receive_grant(grant, self.now):
             return
@@ -239,7 +241,7 @@
             node = self.nodes[self.rng.choice(targets)]
             self.asked.append(self._record(node, item.organisation, cost, self.now))
             if not self._try_run(node, item.organisation, cost, self.now):
-                node.allowances.wait(item.organisation, cost)
+                node.allowances.add_waiting(item.organisation, cost)
                 node.waiting.append((item.organisation, cost, self.now))
                 if self.now >= node.frozen_until:
                     self._claim_soon(node)
@@ -267,7 +269,7 @@
                     node.waiting.append((organisation, cost, since))
                     continue
                 self.refused.append(self._record(node, organisation, cost, since))
-            node.allowances.stop_waiting(organisation, cost)
+            node.allowances.remove_waiting(organisation, cost)
 
 
 def measure_most(ran, name, window):
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -13,7 +13,7 @@
     STREAM,
     CallerLimits,
     Organisation,
-    PoolTraits,
+    PoolSpec,
     Route,
     RoutingDocument,
     Target,
@@ -72,12 +72,12 @@
 
 def make_document(version=1, **changes):
     """Return a routing document with ROUTES and one pool, ``web``."""
-    pools = (PoolTraits("web"),)
+    pools = (PoolSpec("web"),)
     document = RoutingDocument(version, ROUTES, pools, ORGANISATIONS, CallerLimits())
     return document._replace(**changes)
 
 
-class GatewayRun:
+class GatewayThread:
     """A gateway whose event loop runs in a thread; ``close`` stops it all."""
 
     def __init__(self, dialect, *scripts, document=None, keys_are_fresh=lambda: True):
@@ -89,17 +89,19 @@
         ).register(self.loop.root)
         self.gateway.on_usage = lambda name, seconds_ago: self.usage.append(name)
         self.port = self.gateway.web.listen(ANY).port
-        self.gateway.allowances.set_known(1, read_boottime())
+        self.gateway.allowances.set_instance_count(1, read_boottime())
         if document is not None:
             self.gateway.configure(document)
         self.upstreams = [RawUpstream(script) for script in scripts]
         for number, upstream in enumerate(self.upstreams):
-            self.gateway.put_upstream(self.register(f"u{number}", upstream.port))
+            self.gateway.put_upstream(
+                self.make_registration(f"u{number}", upstream.port)
+            )
         self._open = True
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
-    def register(self, name, port, **fields):
+    def make_registration(self, name, port, **fields):
         """Return the Registration of an upstream on loopback."""
         return Registration(name, "web", Address(HOST, port), "a", 8, **fields)
 
--- a/tests/old_loads.py
+++ b/tests/outdated_loads.py
@@ -11,19 +11,19 @@
 from itertools import count
 from typing import NamedTuple
 
-from chervilwing.balancing import Origin, PoolBalance
+from chervilwing.balancing import PlacementOrigin, PoolBalancer
 from chervilwing.demands import Demand, PromptPart
 from chervilwing.models import Address
 from chervilwing.registrations import Registration
-from chervilwing.routing import EngineTraits, PoolTraits
-from chervilwing.stations import InFlight
+from chervilwing.routing import EngineSpec, PoolSpec
+from chervilwing.upstream_states import UpstreamLoad
 
-TRAITS = PoolTraits("engines", engine=EngineTraits(64, 372_000))
+SPEC = PoolSpec("engines", engine=EngineSpec(64, 372_000))
 # Prompt tokens per second that an engine reads while it also generates.
 ENGINE_RATE = 36_000.0
 TOKEN_SECONDS = 0.009
 SNAPSHOT_INTERVAL = 0.05
-# Seconds until a placer's answer arrives, and until a report of a request's begin or
+# Seconds until a placer's answer arrives, and until a report of a request's start or
 # end reaches the placer.
 ASK_TIME = 0.003
 REPORT_TIME = 0.03
@@ -103,14 +103,14 @@
         self._age = age
         self._load = load
         self._snapshots = deque()
-        self._order = count()
+        self._event_numbers = count()
         self._queue = []
 
     def _make_pool(self, seed):
-        pool = PoolBalance(TRAITS, "a", random.Random(seed))
+        pool = PoolBalancer(SPEC, "a", random.Random(seed))
         for number, name in enumerate(self.engines):
             address = Address("10.0.0.1", number)
-            pool.put(Registration(name, "engines", address, "a", 64))
+            pool.put_upstream(Registration(name, "engines", address, "a", 64))
         return pool
 
     def run(self, seconds, shift_at=float("inf")):
@@ -137,16 +137,19 @@
         }
 
     def _push(self, at, action, *args):
-        heapq.heappush(self._queue, (at, next(self._order), action, args))
+        heapq.heappush(self._queue, (at, next(self._event_numbers), action, args))
 
     def _report_loads(self, now):
-        """Give each gateway the loads that the others had some time ago."""
+        """Give each gateway the loads that the other gateways had some time ago."""
         loads = [
-            {name: station.own for name, station in pool.stations.items()}
+            {
+                name: upstream_state.own_load
+                for name, upstream_state in pool.upstream_states.items()
+            }
             for pool in self.pools
         ]
         sums = {
-            name: InFlight(
+            name: UpstreamLoad(
                 *(sum(c) for c in zip(*(load[name] for load in loads), strict=True))
             )
             for name in self.engines
@@ -163,13 +166,13 @@
             if not old_enough:
                 continue
             _, loads, sums, placed = old_enough[-1]
-            pool.learn(placed)
+            pool.add_reported_prompts(placed)
             peer_loads = {
-                name: InFlight(*(a - b for a, b in zip(total, own, strict=True)))
+                name: UpstreamLoad(*(a - b for a, b in zip(total, own, strict=True)))
                 for name, total in sums.items()
                 for own in (loads[number][name],)
             }
-            pool.hear(peer_loads, now + 9.0)
+            pool.set_peer_loads(peer_loads, now + 9.0)
         self._push(now + SNAPSHOT_INTERVAL, self._report_loads)
 
     def _arrive(self, now, kind):
@@ -178,7 +181,7 @@
         self._push(
             now + self.rng.expovariate(kind.per_second * self._load), self._arrive, kind
         )
-        number = next(self._order)
+        number = next(self._event_numbers)
         own = max(50, int(kind.own * self.rng.lognormvariate(-0.3, 0.8)))
         shared = f"{kind.name}s{self.rng.randrange(kind.shared[1])}"
         subject = f"{kind.name}j{self.rng.randrange(kind.subject[1])}"
@@ -194,48 +197,52 @@
         pool = self.rng.choice(self.pools)
         waited = 0.0
         if self._placer is None or self._is_lost():
-            station, estimate = pool.choose(demand, (), now)
+            upstream_state, estimate = pool.choose(demand, (), now)
         else:
-            station, estimate = self._ask(pool, demand, now)
+            upstream_state, estimate = self._ask(pool, demand, now)
             waited = ASK_TIME
-        if pool.is_crowded(estimate, SHORTEST_TARGET):
+        if pool.is_overloaded(estimate, SHORTEST_TARGET):
             self.waits[kind.name].append(REFUSED)
-            self._receive_ended(now, station, demand)
+            self._receive_ended(now, upstream_state, demand)
             return
-        pool.send(station, demand, estimate, now)
-        at = self.engines[station.registration.name].read(demand, now) + 0.015
+        pool.record_sent(upstream_state, demand, estimate, now)
+        at = self.engines[upstream_state.registration.name].read(demand, now) + 0.015
         self.waits[kind.name].append(at + waited - now)
-        self._push(at, self._start, pool, station, demand)
+        self._push(at, self._start, pool, upstream_state, demand)
 
     def _is_lost(self):
         return self.rng.random() < self._lost
 
     def _ask(self, pool, demand, now):
-        """Return the placer's choice: the asking gateway's own Station and Estimate."""
-        origin = Origin("a", PLACER)
+        """Return the placer's choice: the asker's own UpstreamState and Estimate."""
+        origin = PlacementOrigin("a", PLACER)
         chosen, estimate = self._placer.choose(demand, (), now, origin)
-        self._placer.place(demand.request_id, demand, (chosen, estimate), now)
+        self._placer.record_placed(demand.request_id, demand, (chosen, estimate), now)
         name = chosen.registration.name
-        source = estimate.source and pool.stations[estimate.source.registration.name]
-        return pool.stations[name], estimate._replace(source=source)
+        source = (
+            estimate.source and pool.upstream_states[estimate.source.registration.name]
+        )
+        return pool.upstream_states[name], estimate._replace(source=source)
 
-    def _start(self, now, pool, station, demand):
-        pool.start(station, demand, now)
+    def _start(self, now, pool, upstream_state, demand):
+        pool.record_first_byte(upstream_state, demand, now)
         if self._placer is not None and not self._is_lost():
-            self._push(now + REPORT_TIME, self._receive_started, station, demand, now)
+            self._push(
+                now + REPORT_TIME, self._receive_started, upstream_state, demand, now
+            )
         ended = now + demand.output_tokens * TOKEN_SECONDS
-        self._push(ended, self._end, pool, station, demand)
+        self._push(ended, self._end, pool, upstream_state, demand)
 
-    def _end(self, now, pool, station, demand):
-        pool.end(station, demand, False, now)
+    def _end(self, now, pool, upstream_state, demand):
+        pool.record_end(upstream_state, demand, False, now)
         if self._placer is not None and not self._is_lost():
-            self._push(now + REPORT_TIME, self._receive_ended, station, demand)
+            self._push(now + REPORT_TIME, self._receive_ended, upstream_state, demand)
 
-    def _receive_started(self, now, station, demand, at):
-        placer_station = self._placer.stations[station.registration.name]
-        self._placer.start_placed(placer_station, demand.request_id, at)
+    def _receive_started(self, now, upstream_state, demand, at):
+        placer_state = self._placer.upstream_states[upstream_state.registration.name]
+        self._placer.record_placed_first_byte(placer_state, demand.request_id, at)
 
-    def _receive_ended(self, now, station, demand):
-        placer_station = self._placer.stations[station.registration.name]
-        self._placer.end_placed(placer_station, demand.request_id, None, now)
+    def _receive_ended(self, now, upstream_state, demand):
+        placer_state = self._placer.upstream_states[upstream_state.registration.name]
+        self._placer.record_placed_end(placer_state, demand.request_id, None, now)
         self._placer.expire_placed(now)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -6,12 +6,18 @@
 import unittest
 
 from chervilwing.clocks import read_boottime
-from chervilwing.crashes import CRASH_LIMIT
-from chervilwing.fingerprints import fingerprint_repeats
+from chervilwing.crash_records import CRASH_LIMIT
+from chervilwing.fingerprints import make_retry_fingerprint
 from chervilwing.parsers import HttpRequest
 from chervilwing.platform.headers import DIALECT
-from tests.crashing import COMPLETE, CRASHING, HEAD, CrashingUpstream, count_crashed
-from tests.gateways import GatewayRun, make_document
+from tests.crashing_upstreams import (
+    COMPLETE,
+    CRASHING,
+    HEAD,
+    CrashingUpstream,
+    count_crashed,
+)
+from tests.gateways import GatewayThread, make_document
 from tests.procs import CHUNK, HOST, Caller, poll
 from tests.test_gateway import break_off
 from tests.test_platform import PlatformCase
@@ -26,12 +32,12 @@
 class TestOneInstance(unittest.TestCase):
     def start(self, begins=False):
         """Start a gateway in front of upstreams that a request may crash."""
-        self.run_ = GatewayRun(DIALECT, document=make_document())
+        self.run_ = GatewayThread(DIALECT, document=make_document())
         self.addCleanup(self.run_.close)
         self.upstreams = [CrashingUpstream(begins) for _ in range(TRIES * 3)]
         for number, upstream in enumerate(self.upstreams):
             self.addCleanup(upstream.close)
-            found = self.run_.register(f"u{number}", upstream.port)
+            found = self.run_.make_registration(f"u{number}", upstream.port)
             self.run_.gateway.put_upstream(found)
 
     def repeat(self, path, **headers):
@@ -92,7 +98,7 @@
 class TestNoCrash(unittest.TestCase):
     def start(self, *scripts):
         """Start a gateway in front of upstreams with these scripts."""
-        self.run_ = GatewayRun(DIALECT, *scripts, document=make_document())
+        self.run_ = GatewayThread(DIALECT, *scripts, document=make_document())
         self.addCleanup(self.run_.close)
         return self.run_
 
@@ -107,13 +113,13 @@
 
     def count(self, body):
         """Return the number of suspected crashes once no probe is open."""
-        poll(lambda: not self.run_.gateway.crash_watch.is_probing)
+        poll(lambda: not self.run_.gateway.crash_detection.is_probing)
         return self.count_now(body)
 
     def count_now(self, body, path="/note/x"):
         """Return the number of crashes that a request is suspected of now."""
         req = HttpRequest("POST", path, "", {"host": "a.example"}, body, True)
-        fingerprint = fingerprint_repeats(req, "insurer")
+        fingerprint = make_retry_fingerprint(req, "insurer")
         return self.run_.gateway.crashes.count(fingerprint, read_boottime())
 
     def test_a_reset_connection_bars_no_request(self):
@@ -144,7 +150,7 @@
         upstream.script = break_off
         upstream.listener.shutdown(socket.SHUT_RDWR)
         kept = run.gateway.relays.copy()
-        run.gateway.crash_watch.note_broken(next(iter(kept)), read_boottime())
+        run.gateway.crash_detection.handle_broken(next(iter(kept)), read_boottime())
         self.assertEqual(self.count(b"slow"), 0)
         upstream.close()
         beside.join()
@@ -152,8 +158,8 @@
     def test_an_upstream_that_stays_registered_has_not_crashed(self):
         # All requests of its pool are barred, so no answer can show that it is running.
         run, _ = self.start_crashed()
-        run.gateway.registrations_since = lambda: float("-inf")
-        watch = run.gateway.crash_watch
+        run.gateway.registrations_fresh_since = lambda: float("-inf")
+        watch = run.gateway.crash_detection
         watch.clear_registered(read_boottime() + LAPSED_AFTER - 1.0)
         self.assertEqual(self.count_now(b"n"), 1)
         watch.clear_registered(read_boottime() + LAPSED_AFTER + 0.1)
@@ -161,13 +167,13 @@
 
     def test_a_crash_still_counts_after_the_registration_has_lapsed(self):
         run, _ = self.start_crashed()
-        watch = run.gateway.crash_watch
-        # No registration lapses while the store is away and some seconds after that.
+        watch = run.gateway.crash_detection
+        # No registration lapses while the store is unavailable and some seconds after.
         for since in (read_boottime() + 1.0, float("inf")):
-            run.gateway.registrations_since = lambda since=since: since
+            run.gateway.registrations_fresh_since = lambda since=since: since
             watch.clear_registered(read_boottime() + LAPSED_AFTER + 0.1)
             self.assertEqual(self.count_now(b"n"), 1)
-        run.gateway.registrations_since = lambda: float("-inf")
+        run.gateway.registrations_fresh_since = lambda: float("-inf")
         run.gateway.remove_upstream("u0", float("-inf"))
         watch.clear_registered(read_boottime() + LAPSED_AFTER + 0.1)
         self.assertEqual(self.count_now(b"n"), 1)
@@ -177,14 +183,14 @@
         upstream = CrashingUpstream()
         self.addCleanup(upstream.close)
         run = self.start()
-        run.gateway.put_upstream(run.register("u0", upstream.port))
+        run.gateway.put_upstream(run.make_registration("u0", upstream.port))
         upstream.script = lambda *request: self.leave(upstream)
         self.assertEqual(run.call("POST", "/note/x", b"n").status, 502)
         self.assertEqual(self.count(b"n"), 0)
 
     def leave(self, upstream):
         """Register an upstream as leaving, then close it."""
-        found = self.run_.register("u0", upstream.port, leaving=True)
+        found = self.run_.make_registration("u0", upstream.port, leaving=True)
         self.run_.gateway.put_upstream(found)
         upstream.close()
 
@@ -195,7 +201,7 @@
         self.addCleanup(upstream.close)
         upstream.script = lambda *request: None
         run = self.start()
-        run.gateway.put_upstream(run.register("u0", upstream.port))
+        run.gateway.put_upstream(run.make_registration("u0", upstream.port))
         with Caller(run.port) as caller:
             head = "POST /note/x HTTP/1.1\r\nHost: a.example\r\n"
             head += "Authorization: Bearer k1\r\nContent-Length: 1\r\n\r\n"
@@ -214,12 +220,12 @@
         self.addCleanup(first.close)
         self.addCleanup(second.close)
         run = self.start()
-        run.gateway.put_upstream(run.register("u0", first.port))
+        run.gateway.put_upstream(run.make_registration("u0", first.port))
         run.call("POST", "/note/x", CRASHING)
         self.assertEqual(self.count(CRASHING), 1)
         run.gateway.remove_upstream("u0", float("-inf"))
         second.script = lambda conn, *rest: end_unframed(second, conn)
-        run.gateway.put_upstream(run.register("u1", second.port))
+        run.gateway.put_upstream(run.make_registration("u1", second.port))
         self.assertEqual(run.call("POST", "/note/x", CRASHING).status, 200)
         self.assertEqual(self.count(CRASHING), 1)
         # Its registration lapses and it refuses connections, so it has crashed.
@@ -230,7 +236,7 @@
         upstream = CrashingUpstream()
         self.addCleanup(upstream.close)
         run = self.start()
-        run.gateway.put_upstream(run.register("u0", upstream.port))
+        run.gateway.put_upstream(run.make_registration("u0", upstream.port))
         run.call("POST", "/note/x", CRASHING)
         self.assertEqual(self.count(CRASHING), 1)
         # The registration of the crashed upstream lasts some seconds longer.
@@ -245,8 +251,8 @@
         for number in range(CRASH_LIMIT):
             upstream = CrashingUpstream()
             self.addCleanup(upstream.close)
-            run.gateway.drop_upstream("u0")
-            run.gateway.put_upstream(run.register("u0", upstream.port))
+            run.gateway.remove_upstream_now("u0")
+            run.gateway.put_upstream(run.make_registration("u0", upstream.port))
             self.assertEqual(run.call("POST", "/note/x", b"n").status, 200)
             self.assertEqual(run.call("POST", "/note/x", CRASHING).status, 502)
             self.assertEqual(self.count(CRASHING), number + 1)
@@ -258,11 +264,11 @@
         self.addCleanup(upstream.close)
         upstream.script = lambda *request: None
         run = self.start()
-        run.gateway.put_upstream(run.register("u0", upstream.port))
+        run.gateway.put_upstream(run.make_registration("u0", upstream.port))
         caller = threading.Thread(target=run.call, args=("POST", "/note/x", b"n"))
         caller.start()
         poll(lambda: upstream.seen)
-        again = run.register("u0", upstream.port, started_at=9.0)
+        again = run.make_registration("u0", upstream.port, started_at=9.0)
         run.gateway.put_upstream(again)
         self.assertEqual(self.count_now(b"n"), 1)
         upstream.close()
@@ -274,17 +280,17 @@
         self.addCleanup(first.close)
         self.addCleanup(second.close)
         run = self.start()
-        run.gateway.put_upstream(run.register("u0", first.port))
+        run.gateway.put_upstream(run.make_registration("u0", first.port))
         first.script = lambda *request: None
         beside = threading.Thread(target=run.call, args=("POST", "/page/x", b"n"))
         beside.start()
         poll(lambda: first.seen)
         first.script = lambda *request: first.close()
-        run.gateway.put_upstream(run.register("u1", second.port, leaving=True))
+        run.gateway.put_upstream(run.make_registration("u1", second.port, leaving=True))
         run.call("POST", "/note/x", CRASHING)
         beside.join()
         poll(lambda: self.count_now(b"n", "/page/x") == 1)
-        run.gateway.put_upstream(run.register("u1", second.port))
+        run.gateway.put_upstream(run.make_registration("u1", second.port))
         self.assertEqual(run.call("POST", "/page/x", b"n").status, 200)
         self.assertEqual(self.count_now(b"n", "/page/x"), 0)
         self.assertEqual(self.count_now(CRASHING), 1)
--- a/tests/test_tenures.py
+++ b/tests/test_duty_leases.py
@@ -3,7 +3,8 @@
 import random
 import unittest
 
-from chervilwing.items import (
+from chervilwing.duty_leases import DutyLease, Record
+from chervilwing.store_calls import (
     Commit,
     Committed,
     Conflict,
@@ -14,7 +15,6 @@
     TakeLease,
     Unavailable,
 )
-from chervilwing.tenures import DutyLease, Record
 
 TTL = 3.0
 
@@ -113,7 +113,7 @@
         # A acts, loses the duty to B and gets it back at once: the platform would see
         # A, B, A within one lease.
         self.hold(9)
-        self.duty.note_act(0.5)
+        self.duty.record_act(0.5)
         self.duty.observe(Item("duty", b"two/3", 12), 12)
         self.duty.observe(None, 14)
         self.answer(Committed(15), 0.6)
--- a/tests/test_tallies.py
+++ b/tests/test_instance_reports.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from chervilwing.crashes import CrashNews
-from chervilwing.stations import InFlight
-from chervilwing.tallies import Counts, ReportSums, read_crash_news
+from chervilwing.crash_records import CrashReport
+from chervilwing.instance_reports import Counts, ReportSums, read_crash_reports
+from chervilwing.upstream_states import UpstreamLoad
 
 
 def make_counts(work, requests=0):
-    """Return the figures of one instance."""
-    return Counts(1, {"": {"u": InFlight(requests, 0, 0)}}, {"engines": work})
+    """Return the Counts of one instance."""
+    return Counts(1, {"": {"u": UpstreamLoad(requests, 0, 0)}}, {"engines": work})
 
 
 def measure_work(sums, now):
@@ -21,12 +21,12 @@
     def test_malformed_fingerprint_rejects_the_datagram(self):
         # An instance that accepted a malformed fingerprint would fail at each attempt
         # to write it to the store.
-        news = [["0123456789abcdef", "u1", 0.5], ["", "u1", 0.0]]
-        found = read_crash_news(news)
-        self.assertEqual(found[0], CrashNews("0123456789abcdef", "u1", 0.5))
+        reports = [["0123456789abcdef", "u1", 0.5], ["", "u1", 0.0]]
+        found = read_crash_reports(reports)
+        self.assertEqual(found[0], CrashReport("0123456789abcdef", "u1", 0.5))
         for fingerprint in ("f" * 14, "no hex at all 16"):
             with self.assertRaises(ValueError):
-                read_crash_news([[fingerprint, "u1", 0.0]])
+                read_crash_reports([[fingerprint, "u1", 0.0]])
 
 
 class TestReportSums(unittest.TestCase):
@@ -44,8 +44,8 @@
 
     def test_returning_leader_adds_no_old_work(self):
         # A leader is cut off for half a minute while its successor sums all work; then
-        # it leads again. Computed from the last reports that it had received itself,
-        # eleven times the needed instances were ordered.
+        # it leads again. If it added all work since the last reports that it had itself
+        # received, eleven times the needed machines would be ordered.
         sums = ReportSums()
         sums.add_report("two", 1, make_counts(10.0), 0.0)
         sums.add_report("two", 1, make_counts(310.0), 30.0)
--- a/tests/test_placing_model.py
+++ b/tests/test_placing_model.py
@@ -3,8 +3,8 @@
 import unittest
 from collections import Counter
 
-from chervilwing.placers import MAX_TIMEOUTS
-from chervilwing.stations import NOTHING
+from chervilwing.placer_selection import MAX_TIMEOUTS
+from chervilwing.upstream_states import NO_LOAD
 from tests.placing_fleet import DEADLINE, Fleet
 
 SIZES = (8, 67, 320)
@@ -76,15 +76,18 @@
         self.check_all(check)
 
     def test_placed_requests_without_reports_expire(self):
-        # Reports of requests that began or ended are lost, or their sender is. Each one
-        # would make the upstream look busier, until no request was sent there.
+        # Reports of requests that began or ended are lost, or the instance that sends
+        # them fails. If such requests counted forever, the upstream would look busier
+        # with each of them, until no request was sent there.
         def check(fleet):
             for instance in fleet.list_living():
                 loads = {
-                    station.placed.load
-                    for station in instance.pools["engines"].stations.values()
+                    upstream_state.placed_requests.load
+                    for upstream_state in instance.pools[
+                        "engines"
+                    ].upstream_states.values()
                 }
-                self.assertEqual(loads, {NOTHING})
+                self.assertEqual(loads, {NO_LOAD})
                 self.assertEqual(instance.placing._placed, {})
 
         self.check_all(check)
@@ -98,12 +101,12 @@
             placer = find_placer(fleet)
             for name, instance in fleet.instances.items():
                 later = [s for _, s in instance.sent[fleet.left_at[name] :]]
-                names = {station.registration.name for station in later}
+                names = {upstream_state.registration.name for upstream_state in later}
                 with self.subTest(size=size, name=name):
                     self.assertTrue(name == placer or "u0" not in names)
 
     def test_a_cut_off_data_centre_uses_its_own_placer(self):
-        # After two asks without an answer, and maybe a third one already under way, an
+        # After two asks without an answer, and maybe a third one already sent, an
         # instance asks a placer in its own data centre. If it went through all placers
         # in order, each unreachable one would delay two requests of every instance.
         fleet = Fleet(9, ENGINES, seed=3)
